--- a/benches/looking.rs
+++ b/benches/looking.rs
@@ -153,7 +153,7 @@
         }
         // The answer is of no interest here: its client leaves when the prompt is read.
         if let Some(id) = read {
-            router.handle(now, Event::Gone(id), &mut actions);
+            router.handle(now, Event::ClientGone(id), &mut actions);
             let attempt = 1;
             let ended = Ended {
                 request: id,
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -220,11 +220,11 @@
             Event::Request(request) => self.on_request(now, request, out),
             Event::Started { request, attempt, server, .. } => self.on_started(now, request, attempt, server),
             Event::Ended(ended) => self.on_ended(now, ended, out),
-            Event::Gone(id) => self.close(id, None, out),
+            Event::ClientGone(id) => self.close(id, None, out),
             Event::StateReleased(id) => self.on_state_released(now, id, out),
             Event::Timer(_) => self.on_timer(now, out),
             Event::Probed { server, outcome, report, .. } => self.on_probed(now, server, outcome, report),
-            Event::Place { .. } | Event::Peer { .. } => {}
+            Event::Place { .. } | Event::DispatcherMessage { .. } => {}
         }
     }
 
@@ -247,7 +247,7 @@
 
     /// Takes a request with no attempt out to its next step: a reader, a writer, a pause or its end.
     fn advance(&mut self, now: Micros, id: RequestId, out: &mut Actions) {
-        let held_for = self.settings.rules.held_for();
+        let held_for = self.settings.rules.max_state_wait();
         let Some(open) = self.requests.get_mut(&id) else { return };
         if open.over || open.started || open.out().is_some() {
             return;
--- a/src/choice/reader_selection.rs
+++ b/src/choice/reader_selection.rs
@@ -39,10 +39,10 @@
             let kept = server.kept.tokens_of(now, &open.request) > 0
                 || self.prefix_affinity(&open.request, server) >= 1.0;
             let cold = self.warmth(now, server) < 1.0; // and this request is of its share
-            let class = u8::from(sparse && !kept && !cold);
+            let tier = u8::from(sparse && !kept && !cold);
             if let Some(looked) = &mut self.looked {
                 let cost = Cost::Read { missing, load, pace, price, cost };
-                looked.push(Candidate { server: sid, ineligible, avoided, class, cost });
+                looked.push(Candidate { server: sid, ineligible, avoided, tier, cost });
             }
             if ineligible.is_some() {
                 continue;
@@ -57,7 +57,7 @@
                 preferred = Some((avoided, place, found.len()));
             }
             let chance = (self.rng.random(), server.weight);
-            found.push((avoided, class, cost, chance, sid));
+            found.push((avoided, tier, cost, chance, sid));
         }
         if let Some((_, _, at)) = preferred {
             found[at].1 = 0;
--- a/src/choice/writer_selection.rs
+++ b/src/choice/writer_selection.rs
@@ -17,25 +17,33 @@
         let mut found = Vec::new();
         for sid in self.roster.writers(&mut self.rng, entry.map(|e| e.cell), SAMPLE) {
             let Some(server) = self.servers.get(&sid) else { continue };
-            let near = entry.is_some_and(|e| e.cell == server.entry.cell);
+            let in_readers_cell = entry.is_some_and(|e| e.cell == server.entry.cell);
             let share = self.memory_share(now, server);
-            let wait = self.wait(now, entry.map(|e| e.cell).filter(|_| !near), server);
-            let room = share < ROOM && wait < SLOW * self.writers.least + slow;
-            let (class, measure) = match (room, near, server.role) {
+            let wait = self.wait(now, entry.map(|e| e.cell).filter(|_| !in_readers_cell), server);
+            let has_capacity = share < ROOM && wait < SLOW * self.writers.least + slow;
+            let (tier, measure) = match (has_capacity, in_readers_cell, server.role) {
                 (true, true, Role::Writer) => (0, share),
                 (true, true, _) => (1, share),
                 (true, false, _) => (2, share),
-                (false, near, _) => (4 - u8::from(near), f64::from(server.streams) / server.weight),
+                (false, in_readers_cell, _) => {
+                    (4 - u8::from(in_readers_cell), f64::from(server.streams) / server.weight)
+                }
             };
-            let ineligible = self.ineligibility(now, server, open, near);
+            let ineligible = self.ineligibility(now, server, open, in_readers_cell);
             let avoided = self.avoidance(now, server, open);
             if let Some(looked) = &mut self.looked {
-                let cost = Cost::Write { near, memory: share, wait, room, streams: server.streams };
-                looked.push(Candidate { server: sid, ineligible, avoided, class, cost });
+                let cost = Cost::Write {
+                    in_readers_cell,
+                    memory: share,
+                    wait,
+                    has_capacity,
+                    own_streams: server.streams,
+                };
+                looked.push(Candidate { server: sid, ineligible, avoided, tier, cost });
             }
             if ineligible.is_none() {
                 let chance = (self.rng.random(), server.weight);
-                found.push((avoided.is_some(), class, measure, chance, sid));
+                found.push((avoided.is_some(), tier, measure, chance, sid));
             }
         }
         ranked(found)
--- a/src/documents/operator.rs
+++ b/src/documents/operator.rs
@@ -280,7 +280,7 @@
     let mut settings = Settings::plain(dispatchers);
     settings.zone = ZoneId(zone);
     settings.kinds = vec![Kind { role: Role::Mixed, memory_tokens: 1_000_000 }];
-    settings.reports = ReportSource::Nowhere;
+    settings.reports = ReportSource::Unavailable;
     settings.prices = Prices { probe: 0.1, cross_zone: 0.01, ..settings.prices };
     let mut names = Names { zones, kinds: vec![TOOL.into()], ..Names::default() };
     for mut class in node.children(&["class"]) {
@@ -364,7 +364,7 @@
 fn limits(node: &mut Node, settings: &mut Settings) -> Result<Links, Refusal> {
     let mut links = Links { idle: 15_000_000, connect: 250_000 };
     let limits = &mut settings.limits;
-    (limits.attempts, limits.retry_after_most) = (4, 500_000);
+    (limits.attempts, limits.max_retry_after) = (4, 500_000);
     if let Some(mut child) = node.child("limits")? {
         if let Some(attempts) = child.get("attempts")? {
             limits.attempts = attempts.whole()?;
@@ -372,12 +372,12 @@
                 return Err(attempts.refuse("a call needs at least one attempt", None));
             }
         }
-        limits.retry_after_most = micros(&mut child, "retry-after", limits.retry_after_most)?;
+        limits.max_retry_after = micros(&mut child, "retry-after", limits.max_retry_after)?;
         links.idle = micros(&mut child, "idle", links.idle)?;
         links.connect = micros(&mut child, "connect", links.connect)?;
         child.end(0)?;
     }
-    (limits.places_ahead, limits.second_copies) = (false, false);
+    (limits.hold_places, limits.second_copies) = (false, false);
     Ok(links)
 }
 
--- a/src/expect/reasons.rs
+++ b/src/expect/reasons.rs
@@ -50,7 +50,7 @@
 pub fn avoided(why: Avoided) -> &'static str {
     match why {
         Avoided::Silent => "it left a probe unanswered",
-        Avoided::Doubted => "it is in doubt after failures",
+        Avoided::Ejected => "it is in doubt after failures",
         Avoided::Full => "it turned the like of this away as full",
         Avoided::Faulty => "it answers with errors",
         Avoided::FailedBefore => "an attempt of this request has failed there",
@@ -68,11 +68,11 @@
                 cost * 1e3
             )
         }
-        Cost::Write { near, memory, wait, room, streams } => {
-            let place = if near { "in the reader's cell" } else { "in another cell" };
-            let room = if room { "room" } else { "no room" };
+        Cost::Write { in_readers_cell, memory, wait, has_capacity, own_streams } => {
+            let place = if in_readers_cell { "in the reader's cell" } else { "in another cell" };
+            let room = if has_capacity { "room" } else { "no room" };
             format!(
-                "{place}, {room}: {:.1}% of its memory held, first token after {:.1} ms, {streams} own streams",
+                "{place}, {room}: {:.1}% of its memory held, first token after {:.1} ms, {own_streams} own streams",
                 memory * 100.0,
                 wait * 1e3
             )
@@ -103,9 +103,7 @@
         let note = match (one.ineligible, one.avoided) {
             (Some(why), _) => format!("; passed over: {}", ineligible(why)),
             (None, Some(why)) => format!("; last resort: {}", avoided(why)),
-            (None, None) if one.class > 0 && met.choice.reads => {
-                "; no place of this session or prefix".into()
-            }
+            (None, None) if one.tier > 0 && met.choice.reads => "; no place of this session or prefix".into(),
             (None, None) => String::new(),
         };
         lines.push(format!(
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -130,9 +130,9 @@
     /// Advice to stay away reaches the client.
     pub retry_after: bool,
     /// The longest such advice that a client honours.
-    pub retry_after_most: Micros,
+    pub max_retry_after: Micros,
     /// Places may be held ahead.
-    pub places_ahead: bool,
+    pub hold_places: bool,
     /// A broken stream can go on elsewhere, and running streams may be moved.
     pub resume: bool,
     /// A writer reads a prompt itself if there is no state to fetch.
@@ -164,7 +164,7 @@
 
 impl Rules {
     /// For so long a state may wait to be fetched; the rest of its time is for finding a server that lets go of it.
-    pub fn held_for(&self) -> Micros {
+    pub fn max_state_wait(&self) -> Micros {
         self.release_within / 4 * 3
     }
 }
@@ -192,7 +192,7 @@
     /// With probe results only.
     Probes,
     /// Not at all.
-    Nowhere,
+    Unavailable,
 }
 
 /// How the list of servers reaches the router.
@@ -292,8 +292,8 @@
                 probes: true,
                 second_copies: false,
                 retry_after: true,
-                retry_after_most: 1_000_000,
-                places_ahead: true,
+                max_retry_after: 1_000_000,
+                hold_places: true,
                 resume: false,
                 writers_read: false,
             },
@@ -510,7 +510,7 @@
 
 impl Outcome {
     /// Whether the server itself told it, so that it was alive then.
-    pub fn is_told(self) -> bool {
+    pub fn is_server_reported(self) -> bool {
         matches!(self, Outcome::Served | Outcome::Read | Outcome::Error | Outcome::Full | Outcome::NoState)
     }
 
@@ -581,7 +581,7 @@
     /// to read anew. An attempt that is out may be answered yet.
     StateReleased(RequestId),
     /// The client has left, or its answer was overdue.
-    Gone(RequestId),
+    ClientGone(RequestId),
     /// A timer is due.
     Timer(TimerId),
     /// A probe has ended.
@@ -596,7 +596,7 @@
         report: Option<Report>,
     },
     /// A message of another dispatcher.
-    Peer {
+    DispatcherMessage {
         /// Its number.
         from: u32,
         /// What it says.
@@ -659,7 +659,7 @@
     /// Ask once for the whole list.
     FetchList,
     /// Send a message to one other dispatcher, or to all.
-    Tell {
+    SendToDispatchers {
         /// The dispatcher; none: all.
         to: Option<u32>,
         /// The message.
@@ -698,7 +698,7 @@
     /// It left a probe unanswered.
     Silent,
     /// It is ejected after failures, and not due for its trial.
-    Doubted,
+    Ejected,
     /// It turned the like of this request away as full.
     Full,
     /// It answers with too many errors.
@@ -710,7 +710,7 @@
 impl Avoided {
     /// All of them, the gravest first.
     pub const ALL: [Avoided; 5] =
-        [Avoided::Silent, Avoided::Doubted, Avoided::Full, Avoided::Faulty, Avoided::FailedBefore];
+        [Avoided::Silent, Avoided::Ejected, Avoided::Full, Avoided::Faulty, Avoided::FailedBefore];
 }
 
 /// What a candidate would cost, in parts.
@@ -732,15 +732,15 @@
     /// Of a writer.
     Write {
         /// It is in the reader's cell.
-        near: bool,
+        in_readers_cell: bool,
         /// Share of its memory that is held.
         memory: f64,
         /// Seconds to the first token.
         wait: f64,
         /// It has room.
-        room: bool,
+        has_capacity: bool,
         /// Own answers in the making there.
-        streams: u32,
+        own_streams: u32,
     },
 }
 
@@ -754,7 +754,7 @@
     /// Why it is avoided where there is another, if so.
     pub avoided: Option<Avoided>,
     /// Its class: the lower one comes first, whatever the cost.
-    pub class: u8,
+    pub tier: u8,
     /// Its cost.
     pub cost: Cost,
 }
--- a/src/program/cli/expect/report.rs
+++ b/src/program/cli/expect/report.rs
@@ -107,16 +107,16 @@
                 "cost_s": cost, "missing_tokens": missing, "waiting_tokens": load, "tokens_per_s": pace,
                 "price_s": price
             }),
-            Cost::Write { near, memory, wait, room, streams } => json!({
-                "in_readers_cell": near, "memory_share": memory, "first_token_s": wait, "room": room,
-                "own_streams": streams
+            Cost::Write { in_readers_cell, memory, wait, has_capacity, own_streams } => json!({
+                "in_readers_cell": in_readers_cell, "memory_share": memory, "first_token_s": wait, "room": has_capacity,
+                "own_streams": own_streams
             }),
         };
         json!({
             "server": site.name(one.server),
             "weight": site.servers.get(&one.server).map(|(_, entry)| entry.weight),
             "rank": rank.map(|rank| rank + 1),
-            "class": one.class,
+            "class": one.tier,
             "passed_over": one.ineligible.map(reasons::ineligible),
             "last_resort": one.avoided.map(reasons::avoided),
             "cost": cost,
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -269,8 +269,8 @@
                 probes: limits.probes,
                 second_copies: limits.second_copies,
                 retry_after: limits.retry_after,
-                retry_after_most: time("Limits.MaxRetryAfterMs", limits.max_retry_after_ms)?,
-                places_ahead: extra.early_pairing,
+                max_retry_after: time("Limits.MaxRetryAfterMs", limits.max_retry_after_ms)?,
+                hold_places: extra.early_pairing,
                 resume: extra.resume,
                 writers_read: extra.self_prefill,
             },
@@ -295,7 +295,7 @@
             reports: match self.report.source.as_str() {
                 "answers" => ReportSource::Answers,
                 "probe" => ReportSource::Probes,
-                "none" => ReportSource::Nowhere,
+                "none" => ReportSource::Unavailable,
                 _ => return fault("Info Report.Source", "none of answers, probe and none"),
             },
             discovery: match self.discovery.as_str() {
--- a/src/routing/core.rs
+++ b/src/routing/core.rs
@@ -146,7 +146,7 @@
                 let pool = open.pool;
                 open.over = true;
                 self.totals.gone += 1;
-                self.drive(now, pool, Event::Gone(id), out);
+                self.drive(now, pool, Event::ClientGone(id), out);
             }
         }
     }
@@ -211,13 +211,13 @@
         // Only what was sent whole ends so, and that it was written need not have been told yet.
         let known = match outcome {
             Outcome::Reset => Evidence::Written,
-            outcome if outcome.is_told() => Evidence::Answered,
+            outcome if outcome.is_server_reported() => Evidence::Answered,
             _ => a.evidence,
         };
         let written = a.learn(known);
         self.totals.written += u64::from(written);
         self.note_held(now, id, attempt, outcome);
-        if outcome.is_told() {
+        if outcome.is_server_reported() {
             self.hear(now, pool, server);
         }
         match outcome {
@@ -245,7 +245,7 @@
             let Some(known) = self.pools.get_mut(usize::from(pool.0)) else { return };
             touched.extend(match &event {
                 Event::Ended(ended) => Some(ended.request),
-                Event::Gone(id) => Some(*id),
+                Event::ClientGone(id) => Some(*id),
                 _ => None,
             });
             known.router.handle(now, event, &mut actions);
@@ -320,7 +320,7 @@
             // The list is watched without a pause, and asked for whole whenever changes were missed.
             Action::Watch(_) | Action::FetchList => {}
             // Conductors of this platform share nothing.
-            Action::Tell { .. } => {}
+            Action::SendToDispatchers { .. } => {}
             Action::Log(text) => out.push(Output::Log(text)),
             Action::Ejected(server) => out.push(Output::Ejected(pool, server)),
             Action::Explain(choice) => out.push(Output::Explain(choice)),
--- a/src/routing/holding.rs
+++ b/src/routing/holding.rs
@@ -15,7 +15,7 @@
 /// When what an attempt may have left is released: once its server has seen its connection close, or sooner where that
 /// would leave too little of the settings' time.
 fn after_close(rules: &Rules) -> Micros {
-    SEES_CLOSE.min(rules.held_for() / 2)
+    SEES_CLOSE.min(rules.max_state_wait() / 2)
 }
 
 /// As long as a server may take to see the close of a connection before a further read goes out. A release that comes while
@@ -26,7 +26,7 @@
     /// When a writer's connection has to be up, as a state waits for it: after half of the time that is left, so that
     /// another writer gets its turn whatever the first one does.
     pub(super) fn fetch_by(&self, now: Micros, rules: &Rules) -> Option<Micros> {
-        let until = (self.held.wanted_since()? + rules.held_for()).max(now);
+        let until = (self.held.wanted_since()? + rules.max_state_wait()).max(now);
         Some(now + (until - now) / 2)
     }
 }
@@ -41,7 +41,8 @@
         if !open.tries.any_reads() || open.owner.is_some() {
             return;
         }
-        let (held_for, after_close) = (pool.settings.rules.held_for(), after_close(&pool.settings.rules));
+        let (held_for, after_close) =
+            (pool.settings.rules.max_state_wait(), after_close(&pool.settings.rules));
         match outcome {
             Outcome::Read => open.held.read(now, held_for, !open.over),
             // It never came to its server.
@@ -68,7 +69,7 @@
         let Some(open) = self.open.get_mut(&id) else { return };
         let Some(pool) = self.pools.get(usize::from(open.pool.0)) else { return };
         let rules = &pool.settings.rules;
-        let all_asked = rules.release_within - rules.held_for();
+        let all_asked = rules.release_within - rules.max_state_wait();
         let release_at = now + SEES_CLOSE_BEFORE_READ.min(after_close(rules));
         open.held.hasten(release_at);
         open.deferred = Some(deferred);
@@ -171,7 +172,7 @@
         others.sort_by_key(|server| Reverse(pool.heard.get(server)));
         order.extend(others);
         let rules = pool.settings.rules;
-        open.held.begin_release(now, Release::new(now, order, rules.release_within - rules.held_for()));
+        open.held.begin_release(now, Release::new(now, order, rules.release_within - rules.max_state_wait()));
         self.ask_to_release(now, id, |release, ask| release.tick(now, ask), out);
     }
 
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -238,7 +238,7 @@
                     _ => return fault("Kind", "neither 1 nor 2"),
                 },
             },
-            "ABORTED" => Event::Gone(message.request()?),
+            "ABORTED" => Event::ClientGone(message.request()?),
             "FIRED" => Event::Timer(TimerId(message.whole("Ref")?)),
             "PONG" => Event::Probed {
                 server: message.server()?,
@@ -246,9 +246,10 @@
                 took: message.micros("CostTimeMs")?,
                 report: message.report(&self.names.report)?,
             },
-            "WHISPER" => {
-                Event::Peer { from: message.whole("Src")?, payload: decode(message.text("Payload")?)? }
-            }
+            "WHISPER" => Event::DispatcherMessage {
+                from: message.whole("Src")?,
+                payload: decode(message.text("Payload")?)?,
+            },
             name => return fault(name, "not a known message"),
         })
     }
@@ -328,7 +329,7 @@
         Action::CloseIdle(server) => writeln!(out, "FREE_LINKS Host={}", server.0),
         Action::Watch(on) => writeln!(out, "KEEP_INFORMED On={}", u8::from(*on)),
         Action::FetchList => writeln!(out, "QUERY_ALL"),
-        Action::Tell { to, payload } => {
+        Action::SendToDispatchers { to, payload } => {
             let to = to.map_or(-1, i64::from);
             writeln!(out, "BROADCAST_TO Peer={to} Payload={}", encode(payload))
         }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -169,7 +169,7 @@
             tracked.over = true;
             tracked.held_since = tracked.held_since.map(|_| self.now);
         }
-        self.feed(Event::Gone(id));
+        self.feed(Event::ClientGone(id));
     }
 
     /// Lets time pass, with the timers that fall due, and looks at what time alone can break.
@@ -255,7 +255,10 @@
             Action::Explain(_) => {}
             Action::Log(text) => self.log.push(text),
             Action::Ejected(server) => self.log.push(format!("server {} in doubt", server.0)),
-            Action::CloseIdle(_) | Action::Watch(_) | Action::FetchList | Action::Tell { .. } => {}
+            Action::CloseIdle(_)
+            | Action::Watch(_)
+            | Action::FetchList
+            | Action::SendToDispatchers { .. } => {}
         }
     }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -38,7 +38,8 @@
     s.limits.resume = rng.random();
     s.limits.writers_read = rng.random();
     s.rules.release_within = rng.random_range(1..11) * 100 * MS;
-    s.reports = [ReportSource::Answers, ReportSource::Probes, ReportSource::Nowhere][rng.random_range(0..3)];
+    s.reports =
+        [ReportSource::Answers, ReportSource::Probes, ReportSource::Unavailable][rng.random_range(0..3)];
     s
 }
 
@@ -137,7 +138,7 @@
     }
     // Odd but legal: timers never set, clients gone twice, outcomes of requests long ended.
     stand.feed(Event::Timer(TimerId(rng.random())));
-    stand.feed(Event::Gone(RequestId([b'x'; 36])));
+    stand.feed(Event::ClientGone(RequestId([b'x'; 36])));
 }
 
 #[test]
