--- a/tests/bad_settings.rs
+++ b/tests/bad_settings.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-use common::{MS, READER, S, Stand, WRITER, request, server, settings};
+use common::{Harness, MS, READER, S, WRITER, request, server, settings};
 use milletseam::choice::Router;
 use milletseam::interface::*;
 use milletseam::protocol::config::Config;
@@ -363,19 +363,19 @@
     assert_eq!((most.waiting_tokens, most.waiting), (Some(1e8), Some(1e5)));
 }
 
-fn stand() -> Stand {
+fn harness() -> Harness {
     let fleet = [(0, READER), (10, READER), (1, WRITER), (11, WRITER)];
-    Stand::new(settings(), fleet.map(|(id, kind)| server(id, kind, 0)).to_vec())
+    Harness::new(settings(), fleet.map(|(id, kind)| server(id, kind, 0)).to_vec())
 }
 
 /// Has a request read and served; the stand holds the rules.
-fn serve(stand: &mut Stand, one: Request, report: Option<Report>) {
-    stand.accept(one);
-    stand.end_with(one.id, Outcome::Read, u64::MAX, report);
-    stand.pass(10 * MS);
-    stand.start(one.id);
-    stand.end_with(one.id, Outcome::Served, u64::MAX, report);
-    assert!(stand.requests[&one.id].over);
+fn serve(harness: &mut Harness, one: Request, report: Option<Report>) {
+    harness.accept(one);
+    harness.end_with(one.id, Outcome::Read, u64::MAX, report);
+    harness.advance(10 * MS);
+    harness.start(one.id);
+    harness.end_with(one.id, Outcome::Served, u64::MAX, report);
+    assert!(harness.requests[&one.id].finished);
 }
 
 #[test]
@@ -388,11 +388,11 @@
                 waiting_tokens: Some(waiting),
                 waiting: Some(waiting),
             });
-            let mut stand = stand();
+            let mut harness = harness();
             for n in 0..20 {
-                let now = stand.now;
-                serve(&mut stand, request(n, now), report);
-                stand.pass(40 * MS);
+                let now = harness.now;
+                serve(&mut harness, request(n, now), report);
+                harness.advance(40 * MS);
             }
         }
     }
@@ -400,19 +400,19 @@
 
 #[test]
 fn a_server_that_is_unknown_says_nothing() {
-    let mut stand = stand();
-    let one = request(1, stand.now);
-    stand.accept(one);
+    let mut harness = harness();
+    let one = request(1, harness.now);
+    harness.accept(one);
     let report = Some(Report { memory_share: Some(1.0), waiting_tokens: Some(1e6), ..Report::default() });
     for server in [ServerId(99), ServerId(u32::MAX)] {
         let (outcome, took) = (Outcome::Served, MS);
-        stand.feed(Event::Probed { server, outcome, took, report });
-        stand.feed(Event::Place { request: one.id, server, held: true });
-        stand.feed(Event::Started { request: RequestId([b'x'; 36]), attempt: 0, server, took });
+        harness.feed(Event::Probed { server, outcome, took, report });
+        harness.feed(Event::Place { request: one.id, server, held: true });
+        harness.feed(Event::Started { request: RequestId([b'x'; 36]), attempt: 0, server, took });
         let (request, attempt, outcome) = (RequestId([b'x'; 36]), 7, Outcome::Read);
         let kept_tokens = u64::MAX;
         let settled = false;
-        stand.feed(Event::Ended(Ended {
+        harness.feed(Event::Ended(Ended {
             request,
             attempt,
             server,
@@ -423,10 +423,10 @@
             report,
         }));
     }
-    stand.end(one.id, Outcome::Read);
-    stand.start(one.id);
-    stand.end(one.id, Outcome::Served);
-    assert!(stand.requests[&one.id].over);
+    harness.end(one.id, Outcome::Read);
+    harness.start(one.id);
+    harness.end(one.id, Outcome::Served);
+    assert!(harness.requests[&one.id].finished);
 }
 
 #[test]
@@ -445,11 +445,11 @@
             let mut settings = settings();
             settings.dispatchers = dispatchers;
             let fleet = [(0, READER), (10, READER), (1, WRITER), (11, WRITER)];
-            let mut stand = Stand::new(settings, fleet.map(|(id, kind)| server(id, kind, 0)).to_vec());
+            let mut harness = Harness::new(settings, fleet.map(|(id, kind)| server(id, kind, 0)).to_vec());
             for again in 0..4 {
-                let plain = request(n as u64 * 10 + again, stand.now);
-                serve(&mut stand, Request { prefix, prefix_tokens, prompt_tokens, ..plain }, None);
-                stand.pass(40 * MS);
+                let plain = request(n as u64 * 10 + again, harness.now);
+                serve(&mut harness, Request { prefix, prefix_tokens, prompt_tokens, ..plain }, None);
+                harness.advance(40 * MS);
             }
         }
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -45,7 +45,7 @@
     }
 }
 
-pub struct Out {
+pub struct TrackedAttempt {
     pub server: ServerId,
     pub sent: Micros,
     pub cancelled: bool,
@@ -56,26 +56,26 @@
 
 pub struct Tracked {
     pub request: Request,
-    pub attempts: Vec<Out>,
+    pub attempts: Vec<TrackedAttempt>,
     /// Ended by the router, or reported ended.
-    pub over: bool,
+    pub finished: bool,
     pub settled: bool,
     pub held_since: Option<Micros>,
 }
 
 impl Tracked {
-    pub fn pending(&self) -> Option<usize> {
+    pub fn pending_attempt(&self) -> Option<usize> {
         self.attempts.iter().position(|a| a.ended.is_none())
     }
 }
 
 /// One router under watch.
-pub struct Stand {
+pub struct Harness {
     pub settings: Settings,
     pub router: Router,
     pub now: Micros,
     pub entries: BTreeMap<ServerId, ServerEntry>,
-    pub named: BTreeSet<ServerId>,
+    pub ever_listed: BTreeSet<ServerId>,
     pub requests: BTreeMap<RequestId, Tracked>,
     pub timers: BTreeSet<(Micros, TimerId)>,
     pub probes: Vec<ServerId>,
@@ -83,27 +83,27 @@
     pub sends: Vec<(Micros, RequestId, ServerId)>,
 }
 
-impl Stand {
+impl Harness {
     pub fn new(settings: Settings, entries: Vec<ServerEntry>) -> Self {
         Self::with_seed(settings, entries, 11)
     }
 
     pub fn with_seed(settings: Settings, entries: Vec<ServerEntry>, seed: u64) -> Self {
         let now = 5 * S;
-        let mut stand = Stand {
+        let mut harness = Harness {
             router: Router::new(settings.clone(), seed, now).expect("sound settings"),
             settings,
             now,
             entries: BTreeMap::new(),
-            named: BTreeSet::new(),
+            ever_listed: BTreeSet::new(),
             requests: BTreeMap::new(),
             timers: BTreeSet::new(),
             probes: Vec::new(),
             log: Vec::new(),
             sends: Vec::new(),
         };
-        stand.list(ListScope::Cached, entries);
-        stand
+        harness.list(ListScope::Cached, entries);
+        harness
     }
 
     pub fn list(&mut self, scope: ListScope, entries: Vec<ServerEntry>) {
@@ -112,7 +112,7 @@
             ListScope::Changes | ListScope::Failed => {}
         }
         for entry in &entries {
-            self.named.insert(entry.id);
+            self.ever_listed.insert(entry.id);
             self.entries.insert(entry.id, *entry);
         }
         self.feed(Event::List(ListUpdate { scope, entries }));
@@ -120,20 +120,20 @@
 
     pub fn accept(&mut self, request: Request) {
         let tracked =
-            Tracked { request, attempts: Vec::new(), over: false, settled: false, held_since: None };
+            Tracked { request, attempts: Vec::new(), finished: false, settled: false, held_since: None };
         self.requests.insert(request.id, tracked);
         self.feed(Event::Request(request));
     }
 
     /// The server of the attempt that is out for the request.
-    pub fn at(&self, id: RequestId) -> Option<ServerId> {
+    pub fn pending_server(&self, id: RequestId) -> Option<ServerId> {
         let tracked = &self.requests[&id];
-        tracked.pending().map(|n| tracked.attempts[n].server)
+        tracked.pending_attempt().map(|n| tracked.attempts[n].server)
     }
 
     pub fn start(&mut self, id: RequestId) {
         let tracked = self.requests.get_mut(&id).expect("a known request");
-        let n = tracked.pending().expect("an attempt that is out");
+        let n = tracked.pending_attempt().expect("an attempt that is out");
         tracked.attempts[n].started = true;
         tracked.held_since = None;
         let (server, took) = (tracked.attempts[n].server, self.now - tracked.attempts[n].sent);
@@ -147,9 +147,9 @@
     pub fn end_with(&mut self, id: RequestId, outcome: Outcome, kept_tokens: u64, report: Option<Report>) {
         let now = self.now;
         let tracked = self.requests.get_mut(&id).expect("a known request");
-        let n = tracked.pending().expect("an attempt that is out");
+        let n = tracked.pending_attempt().expect("an attempt that is out");
         tracked.attempts[n].ended = Some(outcome);
-        tracked.settled |= tracked.over || outcome == Outcome::Served || tracked.attempts[n].started;
+        tracked.settled |= tracked.finished || outcome == Outcome::Served || tracked.attempts[n].started;
         match outcome {
             Outcome::Read => tracked.held_since = Some(now),
             _ => tracked.held_since = tracked.held_since.map(|_| now),
@@ -157,23 +157,23 @@
         if tracked.settled && outcome == Outcome::Served {
             tracked.held_since = None;
         }
-        tracked.over |= tracked.settled;
+        tracked.finished |= tracked.settled;
         let (server, took) = (tracked.attempts[n].server, now - tracked.attempts[n].sent);
         let (attempt, settled) = (n as u32, tracked.settled);
         let ended = Ended { request: id, attempt, server, outcome, kept_tokens, settled, took, report };
         self.feed(Event::Ended(ended));
     }
 
-    pub fn gone(&mut self, id: RequestId) {
+    pub fn client_gone(&mut self, id: RequestId) {
         if let Some(tracked) = self.requests.get_mut(&id) {
-            tracked.over = true;
+            tracked.finished = true;
             tracked.held_since = tracked.held_since.map(|_| self.now);
         }
         self.feed(Event::ClientGone(id));
     }
 
     /// Lets time pass, with the timers that fall due, and looks at what time alone can break.
-    pub fn pass(&mut self, span: Micros) {
+    pub fn advance(&mut self, span: Micros) {
         let until = self.now + span;
         while self.now < until {
             self.now = (self.now + self.settings.step).min(until);
@@ -184,7 +184,7 @@
             let expired: Vec<RequestId> = (self.requests.iter())
                 .filter(|(_, t)| {
                     let started = t.attempts.iter().any(|a| a.started);
-                    t.pending().is_some() && !started && self.now >= t.request.expires
+                    t.pending_attempt().is_some() && !started && self.now >= t.request.expires
                 })
                 .map(|(id, _)| *id)
                 .collect();
@@ -200,8 +200,8 @@
         for tracked in self.requests.values() {
             let started = tracked.attempts.iter().any(|a| a.started);
             let late = self.now > tracked.request.expires + rules.answer_slack;
-            assert!(tracked.over || started || !late, "rule 1: no final answer in time");
-            if let (Some(since), None) = (tracked.held_since, tracked.pending()) {
+            assert!(tracked.finished || started || !late, "rule 1: no final answer in time");
+            if let (Some(since), None) = (tracked.held_since, tracked.pending_attempt()) {
                 assert!(self.now <= since + rules.release_within, "rule 5: a state is left pinned");
             }
         }
@@ -241,7 +241,7 @@
             Action::HoldPlace { .. } => panic!("places are not held ahead"),
             Action::Release(request) => {
                 let tracked = self.requests.get_mut(&request).expect("a release for a known request");
-                if tracked.pending().is_none() {
+                if tracked.pending_attempt().is_none() {
                     tracked.held_since = None;
                 }
             }
@@ -249,7 +249,7 @@
                 self.timers.insert((at.max(self.now + 1), timer));
             }
             Action::Probe(server) => {
-                assert!(self.settings.limits.probes && self.named.contains(&server), "a stray probe");
+                assert!(self.settings.limits.probes && self.ever_listed.contains(&server), "a stray probe");
                 self.probes.push(server);
             }
             Action::Explain(_) => {}
@@ -262,7 +262,7 @@
         }
     }
 
-    fn may_have_run(&self, a: &Out) -> bool {
+    fn may_have_run(&self, a: &TrackedAttempt) -> bool {
         let reads = self.kind(a.server) == Some(Role::Reader);
         match a.ended {
             None => true,
@@ -280,16 +280,16 @@
 
     fn finish(&mut self, id: RequestId) {
         let tracked = self.requests.get_mut(&id).expect("an answer for a known request");
-        assert!(!tracked.over, "rule 1: a second final answer");
-        tracked.over = true;
+        assert!(!tracked.finished, "rule 1: a second final answer");
+        tracked.finished = true;
     }
 
     fn on_send(&mut self, id: RequestId, to: ServerId) {
         let entry = *self.entries.get(&to).expect("rule 3: a send to a server that is not listed");
         assert!(entry.state == ServerState::Ready, "rule 3: a send to a server that drains or is gone");
         let tracked = &self.requests[&id];
-        assert!(!tracked.over, "rule 1: a send for a request that has ended");
-        assert!(tracked.pending().is_none(), "rule 2: two attempts at once");
+        assert!(!tracked.finished, "rule 1: a send for a request that has ended");
+        assert!(tracked.pending_attempt().is_none(), "rule 2: two attempts at once");
         assert!(
             tracked.attempts.len() < self.settings.limits.attempts as usize,
             "more attempts than allowed"
@@ -307,7 +307,8 @@
                 }
             }
         }
-        let out = Out { server: to, sent: self.now, cancelled: false, started: false, ended: None };
+        let out =
+            TrackedAttempt { server: to, sent: self.now, cancelled: false, started: false, ended: None };
         self.requests.get_mut(&id).expect("checked above").attempts.push(out);
         self.sends.push((self.now, id, to));
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -52,21 +52,21 @@
     })
 }
 
-fn hostile_step(stand: &mut Stand, rng: &mut Pcg64Mcg, n: u64) {
+fn hostile_step(harness: &mut Harness, rng: &mut Pcg64Mcg, n: u64) {
     for k in 0..rng.random_range(0..3) {
-        let mut request = request(n * 10 + k, stand.now);
+        let mut request = request(n * 10 + k, harness.now);
         request.class = ClassId(rng.random_range(0..5));
         request.session = rng.random::<bool>().then(|| SessionKey(rng.random_range(0..20)));
         request.prefix = rng.random::<bool>().then(|| PrefixKey(rng.random_range(0..4)));
         (request.prompt_tokens, request.prefix_tokens) =
             (rng.random_range(0..9_000), rng.random_range(0..5_000));
-        request.expires = stand.now + rng.random_range(0..4 * S);
-        stand.accept(request);
+        request.expires = harness.now + rng.random_range(0..4 * S);
+        harness.accept(request);
     }
-    let ids: Vec<RequestId> = stand.requests.keys().copied().collect();
+    let ids: Vec<RequestId> = harness.requests.keys().copied().collect();
     for id in ids {
-        let tracked = &stand.requests[&id];
-        let Some(out) = tracked.pending() else { continue };
+        let tracked = &harness.requests[&id];
+        let Some(out) = tracked.pending_attempt() else { continue };
         let a = &tracked.attempts[out];
         if !rng.random_bool(if a.cancelled { 0.7 } else { 0.1 }) {
             continue;
@@ -93,8 +93,8 @@
                 Outcome::ConnectFailed,
             ],
         };
-        if !reads && !a.started && rng.random_bool(0.4) && !tracked.over {
-            stand.start(id);
+        if !reads && !a.started && rng.random_bool(0.4) && !tracked.finished {
+            harness.start(id);
             continue;
         }
         let cancelled = a.cancelled && !a.started && rng.random_bool(0.8);
@@ -102,43 +102,44 @@
             if cancelled { Outcome::Cancelled } else { outcomes[rng.random_range(0..outcomes.len())] };
         let kept = rng.random_range(0..6_000);
         let report = hostile_report(rng);
-        stand.end_with(id, outcome, kept, report);
+        harness.end_with(id, outcome, kept, report);
     }
     if rng.random_bool(0.02) {
-        let ids: Vec<RequestId> = stand.requests.keys().copied().collect();
+        let ids: Vec<RequestId> = harness.requests.keys().copied().collect();
         if let Some(id) = ids.get(rng.random_range(0..ids.len().max(1))).copied() {
-            stand.gone(id);
+            harness.client_gone(id);
         }
     }
     if rng.random_bool(0.05) {
-        let ids: Vec<ServerId> = stand.entries.keys().copied().collect();
-        let mut entry = stand.entries[&ids[rng.random_range(0..ids.len())]];
+        let ids: Vec<ServerId> = harness.entries.keys().copied().collect();
+        let mut entry = harness.entries[&ids[rng.random_range(0..ids.len())]];
         match rng.random_range(0..4) {
             0 => entry.state = ServerState::Draining,
             1 => entry.state = ServerState::Gone,
             2 => {
-                (entry.state, entry.started) = (ServerState::Ready, Some(stand.now - rng.random_range(0..S)))
+                (entry.state, entry.started) =
+                    (ServerState::Ready, Some(harness.now - rng.random_range(0..S)))
             }
             _ => entry.state = ServerState::Ready,
         }
-        stand.list(ListScope::Changes, vec![entry]);
-        stand.list(ListScope::Failed, Vec::new());
+        harness.list(ListScope::Changes, vec![entry]);
+        harness.list(ListScope::Failed, Vec::new());
     }
     if rng.random_bool(0.01) {
         let all: Vec<ServerEntry> =
-            stand.entries.values().copied().filter(|_| rng.random_bool(0.8)).collect();
+            harness.entries.values().copied().filter(|_| rng.random_bool(0.8)).collect();
         if !all.is_empty() {
-            stand.list(ListScope::Full, all);
+            harness.list(ListScope::Full, all);
         }
     }
-    for server in std::mem::take(&mut stand.probes) {
+    for server in std::mem::take(&mut harness.probes) {
         let outcome = if rng.random() { Outcome::Served } else { Outcome::TimedOut };
         let report = hostile_report(rng);
-        stand.feed(Event::Probed { server, outcome, took: MS, report });
+        harness.feed(Event::Probed { server, outcome, took: MS, report });
     }
     // Odd but legal: timers never set, clients gone twice, outcomes of requests long ended.
-    stand.feed(Event::Timer(TimerId(rng.random())));
-    stand.feed(Event::ClientGone(RequestId([b'x'; 36])));
+    harness.feed(Event::Timer(TimerId(rng.random())));
+    harness.feed(Event::ClientGone(RequestId([b'x'; 36])));
 }
 
 #[test]
@@ -148,16 +149,16 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let settings = hostile_settings(&mut rng);
         let fleet = fleet(&mut rng);
-        let mut stand = Stand::new(settings, fleet);
+        let mut harness = Harness::new(settings, fleet);
         for n in 0..300 {
-            hostile_step(&mut stand, &mut rng, n);
-            stand.pass(rng.random_range(1..30) * MS);
+            hostile_step(&mut harness, &mut rng, n);
+            harness.advance(rng.random_range(1..30) * MS);
         }
-        stand.pass(6 * S);
-        let unanswered = |t: &&Tracked| !t.over && !t.attempts.iter().any(|a| a.started);
-        assert_eq!(stand.requests.values().filter(unanswered).count(), 0, "seed {seed}");
-        sends += stand.sends.len();
-        answers += stand.requests.values().filter(|t| t.attempts.iter().any(|a| a.started)).count();
+        harness.advance(6 * S);
+        let unanswered = |t: &&Tracked| !t.finished && !t.attempts.iter().any(|a| a.started);
+        assert_eq!(harness.requests.values().filter(unanswered).count(), 0, "seed {seed}");
+        sends += harness.sends.len();
+        answers += harness.requests.values().filter(|t| t.attempts.iter().any(|a| a.started)).count();
     }
     assert!(
         sends > 10_000 && answers > 1_000,
@@ -171,12 +172,12 @@
         let mut rng = Pcg64Mcg::seed_from_u64(5);
         let settings = hostile_settings(&mut rng);
         let fleet = fleet(&mut rng);
-        let mut stand = Stand::new(settings, fleet);
+        let mut harness = Harness::new(settings, fleet);
         for n in 0..200 {
-            hostile_step(&mut stand, &mut rng, n);
-            stand.pass(20 * MS);
+            hostile_step(&mut harness, &mut rng, n);
+            harness.advance(20 * MS);
         }
-        (stand.sends, stand.log)
+        (harness.sends, harness.log)
     };
     let first = run();
     assert!(!first.0.is_empty());
@@ -186,15 +187,15 @@
 #[test]
 fn a_request_with_no_server_is_answered_before_its_client_leaves() {
     for entries in [vec![], vec![server(1, WRITER, 0)], vec![server(0, READER, 0)]] {
-        let mut stand = Stand::new(settings(), entries);
-        let request = Request { expires: stand.now + S, ..request(1, stand.now) };
-        stand.accept(request);
-        if stand.at(request.id).is_some() {
-            stand.end(request.id, Outcome::Read);
+        let mut harness = Harness::new(settings(), entries);
+        let request = Request { expires: harness.now + S, ..request(1, harness.now) };
+        harness.accept(request);
+        if harness.pending_server(request.id).is_some() {
+            harness.end(request.id, Outcome::Read);
         }
-        stand.pass(S - MS);
-        assert!(stand.requests[&request.id].over);
-        stand.pass(2 * S);
+        harness.advance(S - MS);
+        assert!(harness.requests[&request.id].finished);
+        harness.advance(2 * S);
     }
 }
 
@@ -203,17 +204,17 @@
     for outcome in [Outcome::Error, Outcome::Reset, Outcome::TimedOut] {
         let mut settings = settings();
         settings.classes[0].effect = Effect::Unsafe;
-        let mut stand =
-            Stand::new(settings, vec![server(0, READER, 0), server(1, WRITER, 0), server(11, WRITER, 0)]);
-        let request = request(1, stand.now);
-        stand.accept(request);
-        stand.end(request.id, Outcome::Read);
-        stand.end(request.id, outcome);
+        let mut harness =
+            Harness::new(settings, vec![server(0, READER, 0), server(1, WRITER, 0), server(11, WRITER, 0)]);
+        let request = request(1, harness.now);
+        harness.accept(request);
+        harness.end(request.id, Outcome::Read);
+        harness.end(request.id, outcome);
         // The client need not wait for what can't come any more.
-        assert!(stand.requests[&request.id].over, "{outcome:?}");
-        let sent = stand.sends.len();
-        stand.pass(11 * S);
-        assert_eq!((sent, stand.sends.len()), (2, 2));
+        assert!(harness.requests[&request.id].finished, "{outcome:?}");
+        let sent = harness.sends.len();
+        harness.advance(11 * S);
+        assert_eq!((sent, harness.sends.len()), (2, 2));
     }
 }
 
@@ -222,44 +223,44 @@
     let mut settings = settings();
     settings.classes[0].effect = Effect::Keyed(KeyGroup::All);
     settings.classes[0].key_window = 300 * MS;
-    let mut stand =
-        Stand::new(settings, vec![server(0, READER, 0), server(1, WRITER, 0), server(11, WRITER, 0)]);
-    let request = request(1, stand.now);
-    stand.accept(request);
-    stand.end(request.id, Outcome::Read);
-    stand.pass(299 * MS);
-    stand.end(request.id, Outcome::Reset);
+    let mut harness =
+        Harness::new(settings, vec![server(0, READER, 0), server(1, WRITER, 0), server(11, WRITER, 0)]);
+    let request = request(1, harness.now);
+    harness.accept(request);
+    harness.end(request.id, Outcome::Read);
+    harness.advance(299 * MS);
+    harness.end(request.id, Outcome::Reset);
     // A millisecond is left: it goes out once more, and then never again.
-    assert_eq!(stand.sends.len(), 3);
-    stand.pass(MS);
-    stand.end(request.id, Outcome::Reset);
-    assert!(stand.requests[&request.id].over, "nothing can come any more");
-    stand.pass(11 * S);
-    assert_eq!(stand.sends.len(), 3);
+    assert_eq!(harness.sends.len(), 3);
+    harness.advance(MS);
+    harness.end(request.id, Outcome::Reset);
+    assert!(harness.requests[&request.id].finished, "nothing can come any more");
+    harness.advance(11 * S);
+    assert_eq!(harness.sends.len(), 3);
 }
 
 #[test]
 fn a_state_at_a_draining_reader_is_still_fetched() {
-    let mut stand = Stand::new(settings(), vec![server(0, READER, 0), server(101, WRITER, 1)]);
-    let request = request(1, stand.now);
-    stand.accept(request);
-    stand
+    let mut harness = Harness::new(settings(), vec![server(0, READER, 0), server(101, WRITER, 1)]);
+    let request = request(1, harness.now);
+    harness.accept(request);
+    harness
         .list(ListScope::Changes, vec![ServerEntry { state: ServerState::Draining, ..server(0, READER, 0) }]);
-    stand.end(request.id, Outcome::Read);
-    assert_eq!(stand.at(request.id), Some(ServerId(101)));
+    harness.end(request.id, Outcome::Read);
+    assert_eq!(harness.pending_server(request.id), Some(ServerId(101)));
 }
 
 #[test]
 fn a_read_that_ends_after_its_request_is_let_go() {
     let mut settings = settings();
     settings.limits.cancel = false;
-    let mut stand = Stand::new(settings, vec![server(0, READER, 0), server(1, WRITER, 0)]);
-    let request = request(1, stand.now);
-    stand.accept(request);
-    stand.gone(request.id);
-    stand.end(request.id, Outcome::Read);
-    stand.pass(2 * S);
-    assert_eq!(stand.sends.len(), 1);
+    let mut harness = Harness::new(settings, vec![server(0, READER, 0), server(1, WRITER, 0)]);
+    let request = request(1, harness.now);
+    harness.accept(request);
+    harness.client_gone(request.id);
+    harness.end(request.id, Outcome::Read);
+    harness.advance(2 * S);
+    assert_eq!(harness.sends.len(), 1);
 }
 
 #[test]
@@ -272,33 +273,37 @@
         if learnt_at_start {
             entries.push(cold(5 * S));
         }
-        let mut stand = Stand::new(settings, entries);
+        let mut harness = Harness::new(settings, entries);
         if !learnt_at_start {
-            stand.list(ListScope::Changes, vec![cold(5 * S)]);
+            harness.list(ListScope::Changes, vec![cold(5 * S)]);
         }
-        let rules = stand.settings.rules;
+        let rules = harness.settings.rules;
         let mut reads = std::collections::VecDeque::new();
         for n in 0..400 {
-            let request = request(n, stand.now);
-            stand.accept(request);
+            let request = request(n, harness.now);
+            harness.accept(request);
             reads.push_back(request.id);
-            stand.pass(10 * MS);
+            harness.advance(10 * MS);
             if reads.len() > 9 {
                 let id = reads.pop_front().expect("not empty");
-                if stand.at(id).is_some() {
-                    stand.end(id, Outcome::Read);
-                    stand.start(id);
-                    stand.end(id, Outcome::Served);
+                if harness.pending_server(id).is_some() {
+                    harness.end(id, Outcome::Read);
+                    harness.start(id);
+                    harness.end(id, Outcome::Served);
                 }
             }
             let recent = |id| {
-                stand.sends.iter().filter(|(at, _, s)| s.0 == id && at + rules.fall_after > stand.now).count()
+                harness
+                    .sends
+                    .iter()
+                    .filter(|(at, _, s)| s.0 == id && at + rules.fall_after > harness.now)
+                    .count()
             };
             let borne = (recent(0) + recent(10)) as f64 / 2.0;
             let most = (rules.fall_multiple * rules.cold_from * borne).max(1.0);
             assert!(recent(20) as f64 <= most, "{} sent to the cold server, {most} allowed", recent(20));
         }
-        assert!(stand.sends.iter().any(|(_, _, s)| s.0 == 20), "the cold server must get its part");
+        assert!(harness.sends.iter().any(|(_, _, s)| s.0 == 20), "the cold server must get its part");
     }
 }
 
@@ -309,13 +314,13 @@
     settings.classes[0].aim = 300 * S;
     settings.rules.release_within = 400 * MS;
     let fleet = vec![server(0, READER, 0), server(1, WRITER, 0), server(101, WRITER, 0)];
-    let mut stand = Stand::new(settings, fleet);
-    let one = request(1, stand.now);
-    stand.accept(one);
-    stand.pass(100 * MS);
-    stand.end(one.id, Outcome::Read);
-    stand.pass(S); // the stand watches that the state is taken or let go in time
-    assert!(stand.at(one.id).is_some(), "a writer is taken though none has answered");
+    let mut harness = Harness::new(settings, fleet);
+    let one = request(1, harness.now);
+    harness.accept(one);
+    harness.advance(100 * MS);
+    harness.end(one.id, Outcome::Read);
+    harness.advance(S); // the stand watches that the state is taken or let go in time
+    assert!(harness.pending_server(one.id).is_some(), "a writer is taken though none has answered");
 }
 
 /// One dispatcher of 200 at 2 requests a second. At 5 s a third of the servers refuses every connection and the
@@ -328,38 +333,39 @@
         (settings.dispatchers, settings.limits.probes) = (200, true);
         let fleet: Vec<_> = (0..60).map(|n| server(n, [READER, WRITER][n as usize % 2], n / 6)).collect();
         let zone = |entry: &ServerEntry| ServerEntry { zone: ZoneId(0), ..*entry };
-        let mut stand = Stand::with_seed(settings, fleet.iter().map(zone).collect(), seed);
+        let mut harness = Harness::with_seed(settings, fleet.iter().map(zone).collect(), seed);
         let mut probes: Vec<(Micros, ServerId)> = Vec::new();
         let mut fetched = Vec::new();
         for step in 0..400_u64 {
             if step % 10 == 0 {
-                fetched.push(request(step, stand.now));
-                stand.accept(request(step, stand.now));
+                fetched.push(request(step, harness.now));
+                harness.accept(request(step, harness.now));
             }
-            stand.pass(50 * MS);
+            harness.advance(50 * MS);
             let lost = |id: ServerId| step >= 100 && id.0 < 20;
-            let now = stand.now;
-            probes.extend(std::mem::take(&mut stand.probes).into_iter().map(|id| (now + 200 * MS, id)));
+            let now = harness.now;
+            probes.extend(std::mem::take(&mut harness.probes).into_iter().map(|id| (now + 200 * MS, id)));
             for (_, server) in probes.extract_if(.., |(due, _)| *due <= now).collect::<Vec<_>>() {
                 let outcome = if lost(server) { Outcome::TimedOut } else { Outcome::Served };
                 let report = (!lost(server)).then(Report::default);
-                stand.feed(Event::Probed { server, outcome, took: 200 * MS, report });
+                harness.feed(Event::Probed { server, outcome, took: 200 * MS, report });
             }
             for id in fetched.iter().map(|r| r.id) {
-                match stand.at(id) {
-                    Some(to) if lost(to) => stand.end(id, Outcome::ConnectFailed),
-                    Some(to) if to.0 % 2 == 0 => stand.end(id, Outcome::Read),
+                match harness.pending_server(id) {
+                    Some(to) if lost(to) => harness.end(id, Outcome::ConnectFailed),
+                    Some(to) if to.0 % 2 == 0 => harness.end(id, Outcome::Read),
                     Some(_) => {
-                        stand.start(id);
-                        stand.end(id, Outcome::Served);
+                        harness.start(id);
+                        harness.end(id, Outcome::Served);
                     }
                     None => {}
                 }
             }
         }
-        stand.pass(2 * S);
+        harness.advance(2 * S);
         asked += fetched.len();
-        served += fetched.iter().filter(|r| stand.requests[&r.id].attempts.iter().any(|a| a.started)).count();
+        served +=
+            fetched.iter().filter(|r| harness.requests[&r.id].attempts.iter().any(|a| a.started)).count();
     }
     assert!(served * 10 >= asked * 9, "{served} of {asked} were begun, with two thirds of the servers left");
 }
--- a/tests/weights.rs
+++ b/tests/weights.rs
@@ -17,12 +17,12 @@
 }
 
 /// How many of the requests each server was sent first, when nothing ends.
-fn spread(stand: &mut Stand, requests: u64) -> BTreeMap<ServerId, u32> {
+fn spread(harness: &mut Harness, requests: u64) -> BTreeMap<ServerId, u32> {
     let mut seen = BTreeMap::new();
     for n in 0..requests {
-        let one = patient(1_000 + n, stand.now);
-        stand.accept(one);
-        if let Some(server) = stand.at(one.id) {
+        let one = patient(1_000 + n, harness.now);
+        harness.accept(one);
+        if let Some(server) = harness.pending_server(one.id) {
             *seen.entry(server).or_default() += 1;
         }
     }
@@ -38,8 +38,8 @@
 #[test]
 fn where_nothing_else_tells_readers_apart_each_takes_its_weight() {
     let fleet = vec![weighing(0, READER, 0, 1.0), weighing(10, READER, 0, 3.0), server(1, WRITER, 0)];
-    let mut stand = Stand::new(long_aims(), fleet);
-    let seen = spread(&mut stand, 200);
+    let mut harness = Harness::new(long_aims(), fleet);
+    let seen = spread(&mut harness, 200);
     let share = f64::from(seen[&ServerId(10)]) / 200.0;
     assert!((0.70..=0.80).contains(&share), "{share}");
 }
@@ -49,7 +49,7 @@
     let of = |scale: f64| {
         let fleet =
             vec![weighing(0, READER, 0, scale), weighing(10, READER, 0, 2.0 * scale), server(1, WRITER, 0)];
-        spread(&mut Stand::new(long_aims(), fleet), 90)
+        spread(&mut Harness::new(long_aims(), fleet), 90)
     };
     assert_eq!(of(1.0), of(40.0));
 }
@@ -63,29 +63,29 @@
         weighing(1, WRITER, 0, 0.0),
         weighing(11, WRITER, 0, 0.1),
     ];
-    let mut stand = Stand::new(long_aims(), fleet);
+    let mut harness = Harness::new(long_aims(), fleet);
     for n in 0..30 {
-        let one = request(n, stand.now);
-        stand.accept(one);
-        assert_eq!(stand.at(one.id), Some(ServerId(10)));
-        stand.end(one.id, Outcome::Read);
-        assert_eq!(stand.at(one.id), Some(ServerId(11)));
-        stand.start(one.id);
-        stand.end(one.id, Outcome::Served);
+        let one = request(n, harness.now);
+        harness.accept(one);
+        assert_eq!(harness.pending_server(one.id), Some(ServerId(10)));
+        harness.end(one.id, Outcome::Read);
+        assert_eq!(harness.pending_server(one.id), Some(ServerId(11)));
+        harness.start(one.id);
+        harness.end(one.id, Outcome::Served);
     }
 }
 
 #[test]
 fn a_writer_of_more_weight_has_more_room() {
     let fleet = vec![server(0, READER, 0), weighing(1, WRITER, 0, 1.0), weighing(11, WRITER, 0, 2.0)];
-    let mut stand = Stand::new(long_aims(), fleet);
+    let mut harness = Harness::new(long_aims(), fleet);
     let mut seen = BTreeMap::new();
     for n in 0..60 {
-        let one = request(n, stand.now);
-        stand.accept(one);
-        stand.end(one.id, Outcome::Read);
-        *seen.entry(stand.at(one.id).expect("a writer")).or_insert(0) += 1;
-        stand.start(one.id);
+        let one = request(n, harness.now);
+        harness.accept(one);
+        harness.end(one.id, Outcome::Read);
+        *seen.entry(harness.pending_server(one.id).expect("a writer")).or_insert(0) += 1;
+        harness.start(one.id);
     }
     assert_eq!((seen[&ServerId(1)], seen[&ServerId(11)]), (20, 40));
 }
@@ -98,25 +98,25 @@
         for seed in 0..40 {
             let warm =
                 [server(0, READER, 0), server(10, READER, 0), server(1, WRITER, 0), server(11, WRITER, 0)];
-            let mut stand = Stand::with_seed(long_aims(), warm.to_vec(), seed);
+            let mut harness = Harness::with_seed(long_aims(), warm.to_vec(), seed);
             for n in 0..60 {
-                let one = request(n, stand.now);
-                stand.accept(one);
-                stand.pass(20 * MS);
-                stand.end(one.id, Outcome::Read);
-                stand.start(one.id);
-                stand.end(one.id, Outcome::Served);
+                let one = request(n, harness.now);
+                harness.accept(one);
+                harness.advance(20 * MS);
+                harness.end(one.id, Outcome::Read);
+                harness.start(one.id);
+                harness.end(one.id, Outcome::Served);
             }
-            let cold = ServerEntry { started: Some(stand.now), ..weighing(20, READER, 0, weight) };
+            let cold = ServerEntry { started: Some(harness.now), ..weighing(20, READER, 0, weight) };
             // A third with the rest of the mean, so that the weight of the cold one is what it says.
             let other = weighing(30, READER, 0, 2.0 - weight);
-            stand.list(ListScope::Full, [&warm[..], &[cold, other]].concat());
-            let before = stand.sends.len();
+            harness.list(ListScope::Full, [&warm[..], &[cold, other]].concat());
+            let before = harness.sends.len();
             for n in 100..250 {
-                stand.accept(patient(n, stand.now));
-                stand.pass(20 * MS);
+                harness.accept(patient(n, harness.now));
+                harness.advance(20 * MS);
             }
-            sent += stand.sends[before..].iter().filter(|(_, _, to)| *to == ServerId(20)).count();
+            sent += harness.sends[before..].iter().filter(|(_, _, to)| *to == ServerId(20)).count();
         }
         sent as f64
     };
@@ -129,17 +129,18 @@
 fn in_a_large_fleet_a_session_still_returns_to_its_reader() {
     let ids = (0..1_000).map(|n| n * 10);
     let fleet = ids.flat_map(|id| [server(id, READER, id / 100), server(id + 1, WRITER, id / 100)]).collect();
-    let mut stand = Stand::new(long_aims(), fleet);
+    let mut harness = Harness::new(long_aims(), fleet);
     for n in 0..40 {
-        let one = Request { session: Some(SessionKey(n % 8)), ..request(n, stand.now) };
-        stand.accept(one);
-        let reader = stand.at(one.id).expect("a reader");
-        stand.end(one.id, Outcome::Read);
-        let writer = stand.at(one.id).expect("a writer");
+        let one = Request { session: Some(SessionKey(n % 8)), ..request(n, harness.now) };
+        harness.accept(one);
+        let reader = harness.pending_server(one.id).expect("a reader");
+        harness.end(one.id, Outcome::Read);
+        let writer = harness.pending_server(one.id).expect("a writer");
         assert_eq!(writer.0 / 100, reader.0 / 100, "the writer is of the reader's cell");
-        stand.start(one.id);
-        stand.end(one.id, Outcome::Served);
-        let first = stand.sends.iter().find(|(_, id, _)| stand.requests[id].request.session == one.session);
+        harness.start(one.id);
+        harness.end(one.id, Outcome::Served);
+        let first =
+            harness.sends.iter().find(|(_, id, _)| harness.requests[id].request.session == one.session);
         assert_eq!(first.map(|(_, _, to)| *to), Some(reader), "session {}", n % 8);
     }
 }
@@ -152,14 +153,14 @@
         let state = if n == 377 { ServerState::Ready } else { ServerState::Draining };
         [ServerEntry { state, ..reader }, weighing(n * 10 + 1, WRITER, n / 10, f64::from(u32::from(n == 12)))]
     });
-    let mut stand = Stand::new(long_aims(), fleet.collect());
+    let mut harness = Harness::new(long_aims(), fleet.collect());
     for n in 0..20 {
-        let one = request(n, stand.now);
-        stand.accept(one);
-        assert_eq!(stand.at(one.id), Some(ServerId(3770)), "request {n}");
-        stand.end(one.id, Outcome::Read);
-        assert_eq!(stand.at(one.id), Some(ServerId(121)), "request {n}");
-        stand.start(one.id);
-        stand.end(one.id, Outcome::Served);
+        let one = request(n, harness.now);
+        harness.accept(one);
+        assert_eq!(harness.pending_server(one.id), Some(ServerId(3770)), "request {n}");
+        harness.end(one.id, Outcome::Read);
+        assert_eq!(harness.pending_server(one.id), Some(ServerId(121)), "request {n}");
+        harness.start(one.id);
+        harness.end(one.id, Outcome::Served);
     }
 }
