--- a/src/bin/birchspur.rs
+++ b/src/bin/birchspur.rs
@@ -1,4 +1,4 @@
-//! One conductor on real sockets, and the commands round it: `birchspur --help`.
+//! Runs a conductor on real sockets, and the commands for operating it. `birchspur --help` lists them.
 
 use std::process::ExitCode;
 
--- a/src/bin/milletseam-wirehost.rs
+++ b/src/bin/milletseam-wirehost.rs
@@ -1,4 +1,4 @@
-//! Speaks the simulator's wire on standard input and output.
+//! Serves the simulator's line protocol on standard input and output.
 
 use std::io::{BufReader, BufWriter, stdin, stdout};
 use std::process::ExitCode;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,16 +1,15 @@
-//! What goes into the decisions and what comes out: settings, events, actions and ids, as plain data.
+//! The input and output of the routing decisions as plain data: settings, events, actions and ids.
 //!
-//! The host owes the router a clock that never runs backwards, one event at a time in the order of arrival,
-//! and exactly one [`Event::Ended`] for every [`Action::Send`]. Actions are carried out in the order given.
-//! Nothing in this file decides anything; the `plain` constructors fill in "nothing special" for examples
-//! and tests.
+//! The host must give the router a clock that never runs backwards, one event at a time in the order of arrival,
+//! and exactly one [`Event::Ended`] for every [`Action::Send`]. It must carry out actions in the order given.
+//! This module contains no routing logic. The `plain` constructors supply defaults for examples and tests.
 
 use thiserror::Error;
 
-/// A time or a span of the event clock, in whole microseconds.
+/// A point in time or a duration on the event clock, in whole microseconds.
 pub type Micros = u64;
 
-/// A request, named by the 36 bytes of its id, which come back unchanged.
+/// The id of a request: 36 bytes, which actions return unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub [u8; 36]);
 
@@ -23,9 +22,9 @@
 }
 
 id! {
-    /// A model server; the same after a restart of its process.
+    /// The id of a model server. It survives a restart of the server's process.
     ServerId(u32);
-    /// A timer that the router has set.
+    /// The id of a timer that the router has set.
     TimerId(u64);
     /// An index into [`Settings::classes`].
     ClassId(u16);
@@ -33,17 +32,17 @@
     TenantId(u16);
     /// An index into [`Settings::kinds`].
     KindId(u16);
-    /// A zone, by its place among the zones that the host knows.
+    /// The index of a zone among those that the host knows.
     ZoneId(u16);
-    /// A cell: a small set of servers with fast links between them.
+    /// The id of a cell: a small set of servers with fast links between them.
     CellId(u32);
-    /// A session, as a digest of its key.
+    /// The digest of a session's key.
     SessionKey(u64);
-    /// A prefix that several sessions share, as a digest of its key.
+    /// The digest of the key of a prefix that several sessions share.
     PrefixKey(u64);
 }
 
-/// What a kind of server can do.
+/// The work that a kind of server can do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
     /// Reads prompts (prefill).
@@ -55,219 +54,222 @@
     Mixed,
 }
 
-/// What a repeat of a request does.
+/// Whether a request may be sent again after an earlier attempt may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Repeats are harmless.
+    /// A repeat is harmless.
     Safe,
-    /// Servers of one group discard repeats for a while.
+    /// The servers of one group discard repeats for [`Class::key_window`].
     Keyed(KeyGroup),
-    /// A repeat does harm.
+    /// A repeat does harm, so the request must not run twice.
     Unsafe,
 }
 
-/// The servers that discard repeats of a keyed request.
+/// The servers that discard repeats of a keyed request, relative to the server that may have run it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyGroup {
     /// All servers.
     All,
-    /// Those in one zone.
+    /// Servers in the same zone.
     Zone,
-    /// Those in one cell.
+    /// Servers in the same cell.
     Cell,
 }
 
 /// A kind of server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Kind {
-    /// What it does.
+    /// The work that its servers do.
     pub role: Role,
-    /// Its memory, in tokens.
+    /// Memory of one server, in tokens.
     pub memory_tokens: u64,
 }
 
-/// A request class.
+/// A request class: its latency targets, its worth and how its requests may be repeated.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// A first token within this time earns the full worth.
+    /// Latency target: a first token within this time earns the full worth.
     pub aim: Micros,
-    /// Added to the aim for each 1,000 tokens of the prompt.
+    /// Time added to the aim for every 1,000 prompt tokens.
     pub aim_per_1000_tokens: Micros,
-    /// The client's whole wait.
+    /// How long the client waits in all.
     pub deadline: Micros,
-    /// Aim for the time between tokens.
+    /// Target for the time between tokens.
     pub token_aim: Micros,
-    /// Worth of a request.
+    /// Worth of a request that is answered within the aim.
     pub worth: f64,
-    /// Share of the worth that a late answer earns.
+    /// Share of the worth that an answer after the aim still earns.
     pub late_worth: f64,
-    /// What a repeat does.
+    /// Whether requests may be repeated.
     pub effect: Effect,
-    /// How long a keyed group remembers.
+    /// How long a [`KeyGroup`] remembers a request and discards its repeats.
     pub key_window: Micros,
 }
 
-/// A tenant and its share.
+/// A tenant and its share of the service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
-    /// Share of the service.
+    /// Share of the service that the tenant is entitled to.
     pub share: f64,
-    /// Requests a second within the share, over all dispatchers.
+    /// Request rate, in requests per second over all dispatchers, up to which the tenant is within its share.
     pub quota_per_s: f64,
 }
 
-/// What the host allows.
+/// What the host and its servers allow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Attempts for one request at most.
+    /// Maximum number of attempts for one request.
     pub attempts: u32,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Servers may be probed.
+    /// Whether servers may be probed.
     pub probes: bool,
-    /// Two attempts of one request may be out at once.
+    /// Whether two attempts of one request may be in flight at once.
     pub second_copies: bool,
-    /// Advice to stay away reaches the client.
+    /// Whether the retry delay of a refusal reaches the client.
     pub retry_after: bool,
-    /// The longest such advice that a client honours.
+    /// The longest retry delay that a client honours.
     pub max_retry_after: Micros,
-    /// Places may be held ahead.
+    /// Whether places at writers may be reserved in advance.
     pub hold_places: bool,
-    /// A broken stream can go on elsewhere, and running streams may be moved.
+    /// Whether a broken stream can resume at another server, and running streams may be moved.
     pub resume: bool,
-    /// A writer reads a prompt itself if there is no state to fetch.
+    /// Whether a writer reads a prompt itself if there is no state to fetch.
     pub writers_read: bool,
 }
 
-/// Figures of the five rules.
+/// Parameters of the rules that the router must keep.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rules {
-    /// A final answer may come this long after the client's deadline.
+    /// A final answer may be given up to this long after the client's deadline.
     pub answer_slack: Micros,
-    /// The time left that an attempt tells its server may be too long by this.
+    /// The time left that an attempt states to its server may exceed the actual time left by up to this much.
     pub time_left_slack: Micros,
-    /// Sends to a draining server must have ceased after this.
+    /// No request may be sent to a server any more once the server has been draining for this long.
     pub drain_grace: Micros,
-    /// A server starts with at least this share of its capacity.
+    /// Smallest share of its capacity that a server has when its process starts.
     pub cold_from: f64,
-    /// A started server is warm after this.
+    /// Time from the start of a server's process until the server is warm.
     pub warm_up: Micros,
-    /// A cold server falls over above this multiple of its present capacity...
+    /// A cold server fails if its load exceeds this multiple of its present capacity for
+    /// [`fall_after`](Self::fall_after).
     pub fall_multiple: f64,
-    /// ...for this long.
+    /// How long a cold server withstands a load above [`fall_multiple`](Self::fall_multiple).
     pub fall_after: Micros,
-    /// A dispatcher without a subscription has to ask for the list this often.
+    /// A dispatcher without a subscription must ask for the list of servers at least this often.
     pub ask_within: Micros,
-    /// What is held for a request with no attempt out must end within this.
+    /// States and places held for a request must be released within this time once it has no attempt in flight.
     pub release_within: Micros,
 }
 
 impl Rules {
-    /// For so long a state may wait to be fetched; the rest of its time is for finding a server that lets go of it.
+    /// How long a state may wait to be fetched: three quarters of [`release_within`](Self::release_within). The
+    /// rest of that time is kept for finding a server that releases the state.
     pub fn max_state_wait(&self) -> Micros {
         self.release_within / 4 * 3
     }
 }
 
-/// What things cost, as shares of the whole result.
+/// Costs that count against the result, as shares of the total result.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Prices {
-    /// One probe for every first try.
+    /// Cost of one probe for each first attempt.
     pub probe: f64,
-    /// One attempt across zones for every first try.
+    /// Cost of one attempt in another zone for each first attempt.
     pub cross_zone: f64,
-    /// All prompt tokens moved out of their cell.
+    /// Cost of moving all prompt tokens out of their cell.
     pub cross_cell: f64,
-    /// As much wasted work as work offered.
+    /// Cost of wasting as much work as is offered.
     pub waste: f64,
-    /// All worth ending unserved after its aim.
+    /// Cost of leaving all worth unserved after its aim has passed.
     pub late_fail: f64,
 }
 
 /// How load reports reach the router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportSource {
-    /// With outcomes and probe results.
+    /// With the outcomes of attempts and with probe results.
     Answers,
     /// With probe results only.
     Probes,
-    /// Not at all.
+    /// The router gets no reports.
     Unavailable,
 }
 
 /// How the list of servers reaches the router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes come by themselves.
+    /// The host delivers changes unasked.
     Pushed,
-    /// Only what was asked for comes.
+    /// The host delivers only what was asked for.
     OnRequest,
 }
 
-/// Everything an instance is told at its start.
+/// Everything that a router is given at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Zone of this dispatcher.
+    /// Zone in which this dispatcher runs.
     pub zone: ZoneId,
-    /// How many dispatchers share the fleet.
+    /// Number of dispatchers that share the fleet, including this one.
     pub dispatchers: u32,
-    /// Least time between two rounds of events.
+    /// Shortest time between two rounds of events.
     pub step: Micros,
     /// Kinds of server.
     pub kinds: Vec<Kind>,
     /// Request classes.
     pub classes: Vec<Class>,
-    /// Tenants; may be none.
+    /// Tenants. May be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request beyond its tenant's share, as a part of its class's.
+    /// Worth of a request beyond its tenant's share, as a fraction of the worth of its class.
     pub over_share_worth: f64,
     /// What the host allows.
     pub limits: Limits,
-    /// Figures of the rules.
+    /// Parameters of the rules.
     pub rules: Rules,
-    /// What things cost.
+    /// Costs that count against the result.
     pub prices: Prices,
-    /// Where load reports come from.
+    /// How load reports reach the router.
     pub reports: ReportSource,
-    /// How the list comes.
+    /// How the list of servers reaches the router.
     pub discovery: Discovery,
 }
 
-/// Why settings are refused.
+/// Why settings are rejected.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SettingsError {
-    /// There are no dispatchers, kinds or classes.
-    #[error("{0} must not be empty")]
+    /// A list is empty, or a count is 0.
+    #[error("{0} must not be empty or 0")]
     Empty(&'static str),
-    /// A figure is negative, not a number or out of its range.
+    /// A number is negative, not finite or outside its range.
     #[error("{0} is out of range")]
     OutOfRange(&'static str),
 }
 
 impl Settings {
-    /// Checks that the settings agree with themselves.
+    /// Checks that required lists are not empty, that required counts are not 0, and that worths, shares, prices,
+    /// memory sizes and slow start parameters are in range.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let full = [
+        let required = [
             ("dispatchers", self.dispatchers == 0),
             ("kinds", self.kinds.is_empty()),
             ("classes", self.classes.is_empty()),
             ("attempts", self.limits.attempts == 0),
         ];
-        if let Some((what, _)) = full.iter().find(|(_, empty)| *empty) {
+        if let Some((what, _)) = required.iter().find(|(_, empty)| *empty) {
             return Err(SettingsError::Empty(what));
         }
-        let positive = |x: f64| x.is_finite() && x >= 0.0;
-        let classes = |f: fn(&Class) -> f64| self.classes.iter().all(|c| positive(f(c)));
+        let non_negative = |x: f64| x.is_finite() && x >= 0.0;
+        let classes = |f: fn(&Class) -> f64| self.classes.iter().all(|c| non_negative(f(c)));
         let ranges = [
             ("worth", classes(|c| c.worth) && classes(|c| c.late_worth)),
-            ("tenants", self.tenants.iter().all(|t| positive(t.share) && positive(t.quota_per_s))),
-            ("over_share_worth", positive(self.over_share_worth)),
-            ("cold_from", positive(self.rules.cold_from) && self.rules.cold_from <= 1.0),
-            ("fall_multiple", positive(self.rules.fall_multiple)),
+            ("tenants", self.tenants.iter().all(|t| non_negative(t.share) && non_negative(t.quota_per_s))),
+            ("over_share_worth", non_negative(self.over_share_worth)),
+            ("cold_from", non_negative(self.rules.cold_from) && self.rules.cold_from <= 1.0),
+            ("fall_multiple", non_negative(self.rules.fall_multiple)),
             ("memory_tokens", self.kinds.iter().all(|k| k.memory_tokens > 0)),
             ("prices", {
                 let p = &self.prices;
-                [p.probe, p.cross_zone, p.cross_cell, p.waste, p.late_fail].into_iter().all(positive)
+                [p.probe, p.cross_zone, p.cross_cell, p.waste, p.late_fail].into_iter().all(non_negative)
             }),
         ];
         match ranges.iter().find(|(_, ok)| !ok) {
@@ -276,7 +278,7 @@
         }
     }
 
-    /// Settings with nothing special in them and no kinds or classes yet.
+    /// Default settings without any kinds or classes. [`check`](Self::check) rejects them until those are added.
     pub fn plain(dispatchers: u32) -> Self {
         Settings {
             zone: ZoneId(0),
@@ -316,7 +318,8 @@
 }
 
 impl Class {
-    /// Until when a request of which an attempt was sent then, and may have run, may be sent again.
+    /// Returns the time until which a request may be sent again, given that an attempt sent at `sent` may have
+    /// run.
     pub fn repeats_until(&self, sent: Micros) -> Micros {
         match self.effect {
             Effect::Safe => Micros::MAX,
@@ -325,7 +328,7 @@
         }
     }
 
-    /// A safe class with an aim of a second, a deadline of ten and a worth of one.
+    /// A safe class with an aim of 1 s, a deadline of 10 s and a worth of 1.
     pub fn plain() -> Self {
         Class {
             aim: 1_000_000,
@@ -340,33 +343,33 @@
     }
 }
 
-/// What the list says of a server's readiness.
+/// The state of a server according to the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// Takes work.
+    /// The server accepts new work.
     Ready,
-    /// Finishes what it has; nothing new may go there.
+    /// The server finishes the work that it has. No new work may be sent to it.
     Draining,
-    /// Removed.
+    /// The server has been removed.
     Gone,
 }
 
 /// One entry of the list of servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerEntry {
-    /// The server.
+    /// Id of the server.
     pub id: ServerId,
-    /// Its zone.
+    /// Zone that the server is in.
     pub zone: ZoneId,
-    /// Its kind.
+    /// Kind of the server.
     pub kind: KindId,
-    /// Its cell.
+    /// Cell that the server is in.
     pub cell: CellId,
-    /// Its state.
+    /// State of the server.
     pub state: ServerState,
-    /// Its size against others of its role.
+    /// Capacity relative to other servers of the same role. A server with a weight of 0 gets no new work.
     pub weight: f64,
-    /// When its process last started, if that is not long ago.
+    /// When the server's process last started, if that was recent.
     pub started: Option<Micros>,
 }
 
@@ -377,7 +380,7 @@
 }
 
 impl ServerEntry {
-    /// Whether it wants new work at all.
+    /// Returns true if the server may be sent new work: it is ready and its weight is above 0.
     pub fn takes_work(&self) -> bool {
         self.state == ServerState::Ready && self.weight > 0.0
     }
@@ -396,52 +399,52 @@
     }
 }
 
-/// How a list is to be taken.
+/// What a list update covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// Only what changed.
+    /// Only the entries that changed.
     Changes,
-    /// The whole list; what is missing is gone.
+    /// The whole list. Servers that are not in it have been removed.
     Full,
-    /// The whole list as this instance last held it, perhaps old.
+    /// The whole list as this instance last stored it. It may be out of date.
     Cached,
-    /// Asking failed; the list stands as it was.
+    /// The request for the list failed. The list stays as it was.
     Failed,
 }
 
-/// News of the list of servers.
+/// An update of the list of servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListUpdate {
-    /// How to take it.
+    /// What the update covers.
     pub scope: ListScope,
-    /// The entries.
+    /// Entries of the update.
     pub entries: Vec<ServerEntry>,
 }
 
-/// A request that has come in; a final answer is owed from now on.
+/// An incoming request. From its arrival on, the router must bring about one final answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its tenant, where there are any.
+    /// Tenant of the request, where the settings have tenants.
     pub tenant: Option<TenantId>,
-    /// Its session.
+    /// Session that the request belongs to.
     pub session: Option<SessionKey>,
-    /// The prefix that it shares with other sessions.
+    /// Prefix that the prompt shares with other sessions.
     pub prefix: Option<PrefixKey>,
-    /// Length of that prefix, in tokens.
+    /// Length of the shared prefix, in tokens.
     pub prefix_tokens: u64,
     /// Length of the prompt, in tokens.
     pub prompt_tokens: u64,
-    /// The longest answer, in tokens.
+    /// Maximum length of the answer, in tokens.
     pub max_tokens: u64,
-    /// Rough length of the answer, as time at the class's aim between tokens.
+    /// Estimated length of the answer, as the time that it takes at the class's [`token_aim`](Class::token_aim).
     pub hint: Option<Micros>,
-    /// When the client gives this try up.
+    /// When the client gives up on this request.
     pub expires: Micros,
-    /// The client says that this repeats an earlier try.
+    /// Whether the client states that this request repeats an earlier one.
     pub resent: bool,
 }
 
@@ -452,7 +455,7 @@
 }
 
 impl Request {
-    /// A request of the first class with nothing said of it.
+    /// A request of the first class with no optional fields set.
     pub fn plain() -> Self {
         Request {
             id: RequestId([b'0'; 36]),
@@ -470,51 +473,51 @@
     }
 }
 
-/// A server's report of its load; a figure that is not reported is absent.
+/// A server's report of its load. A value that the server does not report is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Recent time to the end of a read or to the first token.
+    /// Recent time until the end of a read or until the first token.
     pub latency: Option<Micros>,
-    /// Share of its memory that is held.
+    /// Share of the server's memory that is in use.
     pub memory_share: Option<f64>,
-    /// Prompt tokens that wait to be read or fetched.
+    /// Prompt tokens waiting to be read or fetched.
     pub waiting_tokens: Option<f64>,
-    /// Requests that wait in its queue.
+    /// Requests waiting in the server's queue.
     pub waiting: Option<f64>,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered.
+    /// The request was answered.
     Served,
-    /// The server returned an error; it may have run.
+    /// The server returned an error. The request may have run.
     Error,
-    /// Turned away: no slot or queue free, or draining. It never ran.
+    /// The server refused the request: it had no slot or queue place free, or was draining. The request never ran.
     Full,
-    /// Turned away: there was no state to fetch. It never ran.
+    /// The server refused the request: there was no state to fetch. The request never ran.
     NoState,
-    /// No answer in time; it may have run or may still.
+    /// No answer arrived in time. The request may have run, or may still run.
     TimedOut,
-    /// No connection. It never ran.
+    /// No connection was established. The request never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke. The request may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled. The request may have run.
     Cancelled,
-    /// Not sent at all. It never ran.
+    /// The attempt was not sent. The request never ran.
     NotSent,
-    /// The prompt is read and its state waits at the reader; nothing is answered.
+    /// The prompt has been read and its state waits at the reader. The request is not answered yet.
     Read,
 }
 
 impl Outcome {
-    /// Whether the server itself told it, so that it was alive then.
+    /// Returns true if the server itself reported this outcome, which shows that it was alive at that time.
     pub fn is_server_reported(self) -> bool {
         matches!(self, Outcome::Served | Outcome::Read | Outcome::Error | Outcome::Full | Outcome::NoState)
     }
 
-    /// Whether the outcome proves that the request never ran at that server; a fact of the contract.
+    /// Returns true if the outcome proves that the request never ran at that server. The protocol guarantees this.
     pub fn never_ran(self) -> bool {
         match self {
             Outcome::Full | Outcome::NoState | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Read => {
@@ -530,244 +533,244 @@
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ended {
-    /// The request.
+    /// Request that the attempt belongs to.
     pub request: RequestId,
-    /// Which of its attempts, from 0.
+    /// Number of the attempt among those of its request, from 0.
     pub attempt: u32,
-    /// The server.
+    /// Server that the attempt was sent to.
     pub server: ServerId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Prompt tokens found kept, for a prompt that was read.
+    /// Prompt tokens that the server had cached, for a prompt that was read.
     pub kept_tokens: u64,
-    /// The request has ended, by this or earlier.
+    /// Whether the request has ended, with this attempt or earlier.
     pub settled: bool,
-    /// Time since the send.
+    /// Time since the attempt was sent.
     pub took: Micros,
-    /// The server's report, if one came along.
+    /// The server's report, if the answer carried one.
     pub report: Option<Report>,
 }
 
-/// What has happened.
+/// Something that has happened and that the router must take into account.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the list.
+    /// The list of servers was updated.
     List(ListUpdate),
-    /// A request has come in.
+    /// A request arrived.
     Request(Request),
-    /// The answer has begun; the attempt now belongs to the client.
+    /// The answer has begun and is streamed to the client, so this attempt answers the request.
     Started {
-        /// The request.
+        /// Request that is being answered.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: u32,
-        /// The server.
+        /// Server that answers.
         server: ServerId,
-        /// Time since the send.
+        /// Time since the attempt was sent.
         took: Micros,
     },
     /// An attempt has ended.
     Ended(Ended),
-    /// A place asked for ahead is held, or not.
+    /// A writer replied to a request to reserve a place in advance.
     Place {
-        /// The request.
+        /// Request that the place is for.
         request: RequestId,
-        /// The server asked.
+        /// Writer that was asked.
         server: ServerId,
-        /// Whether it is held.
+        /// Whether the place is held.
         held: bool,
     },
-    /// What was read for a request is being released, as no server was heard to take it in time; further attempts have
-    /// to read anew. An attempt that is out may be answered yet.
+    /// The state that was read for a request is being released, because no server is known to have fetched it in time.
+    /// Further attempts have to read the prompt again. An attempt in flight may still be answered.
     StateReleased(RequestId),
-    /// The client has left, or its answer was overdue.
+    /// The client of a request has left, or its answer was overdue.
     ClientGone(RequestId),
     /// A timer is due.
     Timer(TimerId),
     /// A probe has ended.
     Probed {
-        /// The server.
+        /// Server that was probed.
         server: ServerId,
-        /// How it ended.
+        /// How the probe ended.
         outcome: Outcome,
-        /// Time since the probe.
+        /// Time since the probe was sent.
         took: Micros,
-        /// The report, if one came along.
+        /// The server's report, if the answer carried one.
         report: Option<Report>,
     },
-    /// A message of another dispatcher.
+    /// Another dispatcher sent a message.
     DispatcherMessage {
-        /// Its number.
+        /// Number of the sending dispatcher.
         from: u32,
-        /// What it says.
+        /// Content of the message.
         payload: Vec<u8>,
     },
 }
 
-/// What is to be done.
+/// Something that the host must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to a server, as its next attempt.
+    /// Send the request to a server as its next attempt.
     Send {
-        /// The request.
+        /// Request to send.
         request: RequestId,
-        /// The server.
+        /// Server to send it to.
         server: ServerId,
-        /// Time-out; none: until the client gives up.
+        /// Time-out of the attempt. `None`: until the client gives up.
         timeout: Option<Micros>,
     },
     /// Stop waiting for an attempt.
     Cancel {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// Final answer: refused; a retry is harmless.
+    /// Give the final answer that the request is refused. The client may safely retry.
     Refuse {
-        /// The request.
+        /// Request to refuse.
         request: RequestId,
-        /// How long the client should stay away.
+        /// How long the client should wait before it retries.
         retry_after: Option<Micros>,
     },
-    /// Final answer: failed.
+    /// Give the final answer that the request has failed.
     Fail(RequestId),
-    /// End a running stream so that its client comes again.
+    /// End a running stream so that its client sends the request again.
     Move(RequestId),
-    /// Hold a place at a writer.
+    /// Reserve a place at a writer.
     HoldPlace {
-        /// The request.
+        /// Request that the place is for.
         request: RequestId,
-        /// The server.
+        /// Writer to reserve it at.
         server: ServerId,
     },
-    /// Let go of every state and place that no attempt waits for.
+    /// Release every state and place of a request that none of its attempts waits for.
     Release(RequestId),
-    /// Ask for a timer event.
+    /// Deliver [`Event::Timer`] at a given time.
     SetTimer {
-        /// When.
+        /// When the timer is due.
         at: Micros,
-        /// Its id.
+        /// Id of the timer.
         timer: TimerId,
     },
     /// Probe a server.
     Probe(ServerId),
     /// Close idle connections to a server.
     CloseIdle(ServerId),
-    /// Subscribe to changes of the list, or stop.
+    /// Subscribe to changes of the list of servers (`true`), or cancel the subscription (`false`).
     Watch(bool),
-    /// Ask once for the whole list.
+    /// Request the whole list of servers once.
     FetchList,
     /// Send a message to one other dispatcher, or to all.
     SendToDispatchers {
-        /// The dispatcher; none: all.
+        /// Number of the receiving dispatcher. `None`: all others.
         to: Option<u32>,
-        /// The message.
+        /// Content of the message.
         payload: Vec<u8>,
     },
-    /// A line for the operators.
+    /// Write a line to the operators' log.
     Log(String),
-    /// This server gave no sign of life and is avoided for a while; for the operators.
+    /// Inform the operators that a server was ejected: it did not respond, and is avoided for a while.
     Ejected(ServerId),
-    /// What a choice looked at; told only to those who observe.
+    /// Explain a choice among servers. Emitted only if the router is observed.
     Explain(Box<Choice>),
 }
 
-/// Why nothing may be sent to a server at the moment of a choice.
+/// Why a request may not be sent to a server at the time of a choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ineligible {
-    /// It drains.
+    /// The server is draining.
     Draining,
-    /// Its weight is 0.
+    /// The weight of the server is 0.
     NoWeight,
-    /// The request may have run elsewhere, and must not run a second time.
+    /// The request may have run at another server and must not run a second time.
     MayHaveRun,
-    /// It is cold, and the request is not one of the part that is for it.
+    /// The server is cold, and the request is not in the share that it may receive.
     ColdShare,
-    /// It can't do this.
+    /// The server does not do this work.
     Role,
-    /// A mixed server that holds more memory than its share.
+    /// A mixed server has more of its memory in use than it may when it is to read.
     Memory,
-    /// One attempt is left, and a read would need a second one for the answer.
+    /// Only one attempt is left, and after a read the answer would need another.
     LastAttempt,
 }
 
-/// Why a server is taken only if there is no other.
+/// Why a server is chosen only if no other is available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Avoided {
-    /// It left a probe unanswered.
+    /// The server left a probe unanswered.
     Silent,
-    /// It is ejected after failures, and not due for its trial.
+    /// The server is ejected after failures and not yet due for a trial.
     Ejected,
-    /// It turned the like of this request away as full.
+    /// The server recently refused a request of the same tenant and class because it was full.
     Full,
-    /// It answers with too many errors.
+    /// The server answers with too many errors.
     Faulty,
-    /// An attempt of this request has failed there.
+    /// An attempt of this request failed at the server.
     FailedBefore,
 }
 
 impl Avoided {
-    /// All of them, the gravest first.
+    /// All reasons, the most severe first.
     pub const ALL: [Avoided; 5] =
         [Avoided::Silent, Avoided::Ejected, Avoided::Full, Avoided::Faulty, Avoided::FailedBefore];
 }
 
-/// What a candidate would cost, in parts.
+/// The cost of a candidate, in parts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Cost {
-    /// Of a reader: cost = (weight of a missing token x missing + load) / pace + price.
+    /// Cost of a reader: (weight of a missing token x `missing` + `load`) / `pace` + `price`.
     Read {
-        /// Prompt tokens not kept there.
+        /// Prompt tokens that the server has not cached.
         missing: u64,
-        /// Tokens that wait there.
+        /// Prompt tokens waiting at the server.
         load: f64,
-        /// Tokens a second.
+        /// Reading speed in tokens per second.
         pace: f64,
-        /// Seconds that stand for the way to another zone.
+        /// Seconds charged for a server in another zone.
         price: f64,
-        /// The cost, in seconds.
+        /// The total cost, in seconds.
         cost: f64,
     },
-    /// Of a writer.
+    /// Cost of a writer.
     Write {
-        /// It is in the reader's cell.
+        /// Whether the writer is in the reader's cell.
         in_readers_cell: bool,
-        /// Share of its memory that is held.
+        /// Share of the memory that is in use.
         memory: f64,
-        /// Seconds to the first token.
+        /// Expected time to the first token, in seconds.
         wait: f64,
-        /// It has room.
+        /// Whether the writer has capacity: enough free memory, and a first token that is not too late.
         has_capacity: bool,
-        /// Own answers in the making there.
+        /// Answers that this dispatcher has in progress or waiting at the writer.
         own_streams: u32,
     },
 }
 
-/// A server that a choice looked at.
+/// A server that a choice considered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// The server.
+    /// Id of the server.
     pub server: ServerId,
-    /// Why nothing may be sent there, if so.
+    /// Why the request may not be sent to the server, if it may not.
     pub ineligible: Option<Ineligible>,
-    /// Why it is avoided where there is another, if so.
+    /// Why the server is chosen only if no other is available, if that applies.
     pub avoided: Option<Avoided>,
-    /// Its class: the lower one comes first, whatever the cost.
+    /// Tier of the candidate. A lower tier ranks first, whatever the cost.
     pub tier: u8,
-    /// Its cost.
+    /// Cost of the candidate.
     pub cost: Cost,
 }
 
 /// One choice among servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// The request.
+    /// Request that the choice is for.
     pub request: RequestId,
-    /// A reader is chosen, not a writer.
+    /// True for the choice of a reader, false for that of a writer.
     pub reads: bool,
-    /// All that it looked at.
+    /// All servers that the choice considered.
     pub candidates: Vec<Candidate>,
-    /// Those that were usable, the best first.
+    /// The eligible servers, the best first.
     pub ranked: Vec<ServerId>,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! The decisions of a request router for disaggregated LLM serving: which reader reads a prompt, which
-//! writer answers it, and what happens when either fails.
+//! A request router for disaggregated LLM serving. It decides which reader reads a prompt, which writer answers it,
+//! and what happens when either fails.
 //!
-//! [`interface`] holds the plain data that goes in and out, [`choice`] every decision, and [`wire`] the
-//! adapter to the simulator's line protocol. A dispatcher loads the crate, feeds [`choice::Router`] its
-//! events one at a time and carries out the actions it gets back:
+//! [`interface`] holds the input and output of the decisions as plain data, [`choice`] the decisions themselves, and
+//! [`wire`] the adapter to the simulator's line protocol. A dispatcher links this crate, feeds [`choice::Router`] one
+//! event at a time and carries out the actions that it returns:
 //!
 //! ```
 //! use milletseam::choice::Router;
@@ -15,7 +15,7 @@
 //!     Kind { role: Role::Writer, memory_tokens: 150_000 },
 //! ];
 //! settings.classes = vec![Class { aim: 1_000_000, deadline: 4_000_000, ..Class::plain() }];
-//! let mut router = Router::new(settings, 7, 0).expect("settings that agree with themselves");
+//! let mut router = Router::new(settings, 7, 0).expect("valid settings");
 //!
 //! let mut actions = Vec::new();
 //! let server = |id, kind| ServerEntry { id: ServerId(id), kind: KindId(kind), ..ServerEntry::plain() };
@@ -45,7 +45,7 @@
 pub mod transport;
 pub mod wire;
 
-/// The example of README.md, compiled and run.
+/// Compiles and runs the example in README.md as a documentation test.
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
 pub struct Readme;
