--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,5 +1,5 @@
-//! The adapter to the simulator's line protocol: it parses, maps names and ids, hosts instances by number
-//! and writes replies. It decides nothing.
+//! The adapter to the simulator's line protocol. It parses messages, maps names and ids, runs router instances by
+//! their number and writes the replies. It contains no routing logic.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
@@ -12,76 +12,84 @@
     Fault, Info, Names, Parsed, ReportField, digest, fault, index, micros, number,
 };
 
-/// Input that can't be taken, or output that can't be written.
+/// Input that cannot be processed, or output that cannot be written.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// A line is malformed.
+    /// A line is malformed, or not valid at its place.
     #[error("line {line}: {field}: {problem}")]
     Malformed {
-        /// Number of the line, from 1.
+        /// Number of the line, counted from 1.
         line: u64,
-        /// The field, or the message where no field is to blame.
+        /// The field at fault, or the message if no single field is.
         field: String,
-        /// What is wrong.
+        /// What is wrong with it.
         problem: String,
     },
-    /// Reading or writing failed.
-    #[error("input or output failed: {0}")]
+    /// Reading the input or writing the output failed.
+    #[error("reading the input or writing the output failed: {0}")]
     Io(#[from] std::io::Error),
 }
 
-/// One line, taken apart.
+/// One line, split into the name of its message and its fields.
 struct Message<'a> {
     name: &'a str,
     fields: Vec<(&'a str, &'a str)>,
 }
 
 impl<'a> Message<'a> {
+    /// Splits a line. The `Info` field of `UP` takes the rest of the line, as its JSON may contain spaces.
     fn parse(line: &'a str) -> Parsed<Self> {
         let (name, mut rest) = line.split_once(' ').unwrap_or((line, ""));
         let mut fields = Vec::new();
         while !rest.is_empty() {
-            let Some((field, after)) = rest.split_once('=') else {
+            let Some((field, after_equals)) = rest.split_once('=') else {
                 return fault(rest, "not of the form name=value");
             };
             if field.is_empty() || field.contains(' ') {
-                return fault(name, "a part that is not of the form name=value");
+                return fault(name, "contains a part that is not of the form name=value");
             }
             if fields.iter().any(|(seen, _)| *seen == field) {
                 return fault(field, "given twice");
             }
-            let to_the_end = name == "UP" && field == "Info";
-            let (value, next) =
-                if to_the_end { (after, "") } else { after.split_once(' ').unwrap_or((after, "")) };
+            let takes_rest_of_line = name == "UP" && field == "Info";
+            let (value, next) = if takes_rest_of_line {
+                (after_equals, "")
+            } else {
+                after_equals.split_once(' ').unwrap_or((after_equals, ""))
+            };
             fields.push((field, value));
             rest = next;
         }
         Ok(Message { name, fields })
     }
 
+    /// Returns the value of an optional field.
     fn get(&self, field: &str) -> Option<&'a str> {
         self.fields.iter().find(|(name, _)| *name == field).map(|(_, value)| *value)
     }
 
+    /// Returns the value of a required field.
     fn text(&self, field: &str) -> Parsed<&'a str> {
         self.get(field).map_or_else(|| fault(field, "missing"), Ok)
     }
 
-    fn whole<T: TryFrom<u64>>(&self, field: &str) -> Parsed<T> {
+    fn integer<T: TryFrom<u64>>(&self, field: &str) -> Parsed<T> {
         let text = self.text(field)?;
         let number = text.parse::<u64>().ok().and_then(|n| T::try_from(n).ok());
         number.map_or_else(|| fault(field, "not a whole number in range"), Ok)
     }
 
-    fn whole_or_zero(&self, field: &str) -> Parsed<u64> {
-        if self.get(field).is_some() { self.whole(field) } else { Ok(0) }
+    /// Returns the value of an optional integer field, or 0 if it is absent.
+    fn integer_or_zero(&self, field: &str) -> Parsed<u64> {
+        if self.get(field).is_some() { self.integer(field) } else { Ok(0) }
     }
 
+    /// Returns the value of an optional flag, or false if it is absent.
     fn flag(&self, field: &str) -> Parsed<bool> {
         match self.get(field) {
             Some("1") => Ok(true),
             None | Some("0") => Ok(false),
-            Some(_) => fault(field, "neither 0 nor 1"),
+            Some(_) => fault(field, "must be 0 or 1"),
         }
     }
 
@@ -97,13 +105,14 @@
         let text = self.text("Call")?;
         text.as_bytes()
             .try_into()
-            .map_or_else(|_| fault("Call", "not an id of 36 characters"), |bytes| Ok(RequestId(bytes)))
+            .map_or_else(|_| fault("Call", "not an id of 36 bytes"), |bytes| Ok(RequestId(bytes)))
     }
 
     fn server(&self) -> Parsed<ServerId> {
-        self.whole("Host").map(ServerId)
+        self.integer("Host").map(ServerId)
     }
 
+    /// Returns the load report of an optional `Usage` field, whose values stand in the order of `fields`.
     fn report(&self, fields: &[ReportField]) -> Parsed<Option<Report>> {
         let Some(text) = self.get("Usage") else {
             return Ok(None);
@@ -111,7 +120,10 @@
         let mut report = Report::default();
         let values: Vec<&str> = text.split(',').collect();
         if values.len() != fields.len() {
-            return fault("Usage", format!("holds {} values in place of {}", values.len(), fields.len()));
+            return fault(
+                "Usage",
+                format!("holds {} values, but {} are expected", values.len(), fields.len()),
+            );
         }
         for (field, value) in fields.iter().zip(values) {
             let value = number("Usage", value)?;
@@ -127,7 +139,7 @@
     }
 
     fn outcome(&self) -> Parsed<Outcome> {
-        let no_state = self.whole_or_zero("Detail")? == 1;
+        let no_state = self.integer_or_zero("Detail")? == 1;
         Ok(match self.text("Rc")? {
             "10" => Outcome::Served,
             "20" => Outcome::Error,
@@ -144,18 +156,21 @@
     }
 }
 
-fn ms(us: Micros) -> String {
+/// Formats microseconds as milliseconds with three decimals.
+fn format_ms(us: Micros) -> String {
     format!("{}.{:03}", us / 1000, us % 1000)
 }
 
+/// One router, with the names by which its messages refer to its settings.
 struct Instance {
     router: Router,
     names: Names,
 }
 
 impl Instance {
+    /// Starts an instance from its `UP` message.
     fn start(message: &Message, now: Micros) -> Parsed<Self> {
-        let seed = message.whole("InitSeed")?;
+        let seed = message.integer("InitSeed")?;
         let info: Info = match serde_json::from_str(message.text("Info")?) {
             Ok(info) => info,
             Err(error) => return fault("Info", error.to_string()),
@@ -167,27 +182,29 @@
         }
     }
 
+    /// Converts an `ITEM` message into an entry of the list of servers.
     fn entry(&self, message: &Message) -> Parsed<ServerEntry> {
         let started = match message.get("OnlineSinceMs") {
-            Some(_) => Some(message.micros("OnlineSinceMs")?).filter(|at| *at > 0),
+            Some(_) => Some(message.micros("OnlineSinceMs")?).filter(|since| *since > 0),
             None => None,
         };
         Ok(ServerEntry {
             id: message.server()?,
             zone: ZoneId(index("Campus", &self.names.zones, message.text("Campus")?)?),
             kind: KindId(index("Hw", &self.names.kinds, message.text("Hw")?)?),
-            cell: CellId(message.whole("Cluster")?),
+            cell: CellId(message.integer("Cluster")?),
             state: match message.text("Health")? {
                 "0" => ServerState::Ready,
                 "2" => ServerState::Draining,
                 "3" => ServerState::Gone,
-                _ => return fault("Health", "none of 0, 2 and 3"),
+                _ => return fault("Health", "must be 0, 2 or 3"),
             },
             weight: message.number("Share")?,
             started,
         })
     }
 
+    /// Converts an `ACCEPT` message into a request.
     fn request(&self, message: &Message) -> Parsed<Request> {
         let tenant = match message.get("Account") {
             None | Some("0") => None,
@@ -200,31 +217,31 @@
             tenant,
             session: key("SessionId").map(SessionKey),
             prefix: key("SharedPrefix").map(PrefixKey),
-            prefix_tokens: message.whole_or_zero("PrefixTokens")?,
-            prompt_tokens: message.whole("NPrompt")?,
-            max_tokens: message.whole_or_zero("MaxTokens")?,
+            prefix_tokens: message.integer_or_zero("PrefixTokens")?,
+            prompt_tokens: message.integer("NPrompt")?,
+            max_tokens: message.integer_or_zero("MaxTokens")?,
             hint: message.get("HintMs").map(|_| message.micros("HintMs")).transpose()?,
             expires: message.micros("ExpiresMs")?,
             resent: message.flag("Resent")?,
         })
     }
 
-    /// Maps an event that stands on one line.
+    /// Converts a message into an event. `TOPOLOGY` is not handled here, because its entries follow on further lines.
     fn event(&self, message: &Message) -> Parsed<Event> {
         Ok(match message.name {
             "ACCEPT" => Event::Request(self.request(message)?),
             "ACK_FIRST" => Event::Started {
                 request: message.request()?,
-                attempt: message.whole("Leg")?,
+                attempt: message.integer("Leg")?,
                 server: message.server()?,
                 took: message.micros("CostTimeMs")?,
             },
             "FINISHED" => Event::Ended(Ended {
                 request: message.request()?,
-                attempt: message.whole("Leg")?,
+                attempt: message.integer("Leg")?,
                 server: message.server()?,
                 outcome: message.outcome()?,
-                kept_tokens: message.whole_or_zero("Detail")?,
+                kept_tokens: message.integer_or_zero("Detail")?,
                 settled: message.flag("Settled")?,
                 took: message.micros("CostTimeMs")?,
                 report: message.report(&self.names.report)?,
@@ -235,11 +252,11 @@
                 held: match message.text("Kind")? {
                     "1" => true,
                     "2" => false,
-                    _ => return fault("Kind", "neither 1 nor 2"),
+                    _ => return fault("Kind", "must be 1 or 2"),
                 },
             },
             "ABORTED" => Event::ClientGone(message.request()?),
-            "FIRED" => Event::Timer(TimerId(message.whole("Ref")?)),
+            "FIRED" => Event::Timer(TimerId(message.integer("Ref")?)),
             "PONG" => Event::Probed {
                 server: message.server()?,
                 outcome: message.outcome()?,
@@ -247,8 +264,8 @@
                 report: message.report(&self.names.report)?,
             },
             "WHISPER" => Event::DispatcherMessage {
-                from: message.whole("Src")?,
-                payload: decode(message.text("Payload")?)?,
+                from: message.integer("Src")?,
+                payload: decode_base64(message.text("Payload")?)?,
             },
             name => return fault(name, "not a known message"),
         })
@@ -257,97 +274,107 @@
 
 const BASE64: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
-/// Base64 with padding; `-` for nothing.
-fn decode(text: &str) -> Parsed<Vec<u8>> {
-    let wrong = || fault("Payload", "not base64");
+/// Decodes base64 with padding. An empty payload is written as `-`.
+fn decode_base64(text: &str) -> Parsed<Vec<u8>> {
+    let invalid = || fault("Payload", "not base64");
     if text == "-" {
         return Ok(Vec::new());
     }
-    let body = text.trim_end_matches('=');
-    if !text.len().is_multiple_of(4) || text.len() - body.len() > 2 || body.is_empty() {
-        return wrong();
+    let digits = text.trim_end_matches('=');
+    if !text.len().is_multiple_of(4) || text.len() - digits.len() > 2 || digits.is_empty() {
+        return invalid();
     }
-    let (mut bits, mut held, mut bytes) = (0u32, 0, Vec::new());
-    for c in body.bytes() {
+    let (mut bits, mut bit_count, mut bytes) = (0u32, 0, Vec::new());
+    for c in digits.bytes() {
         let Some(value) = BASE64.iter().position(|b| *b == c) else {
-            return wrong();
+            return invalid();
         };
         bits = (bits << 6 | value as u32) & 0xffff;
-        held += 6;
-        if held >= 8 {
-            held -= 8;
-            bytes.push((bits >> held) as u8);
+        bit_count += 6;
+        if bit_count >= 8 {
+            bit_count -= 8;
+            bytes.push((bits >> bit_count) as u8);
         }
     }
     Ok(bytes)
 }
 
-fn encode(bytes: &[u8]) -> String {
+/// Encodes base64 with padding. An empty payload is written as `-`.
+fn encode_base64(bytes: &[u8]) -> String {
     if bytes.is_empty() {
         return "-".to_string();
     }
     let mut text = String::new();
     for chunk in bytes.chunks(3) {
-        let byte = |at: usize| u32::from(chunk.get(at).copied().unwrap_or(0));
+        let byte = |position: usize| u32::from(chunk.get(position).copied().unwrap_or(0));
         let bits = byte(0) << 16 | byte(1) << 8 | byte(2);
-        for at in 0..4 {
-            let used = at <= chunk.len();
-            text.push(if used { BASE64[(bits >> (18 - 6 * at) & 63) as usize] as char } else { '=' });
+        for position in 0..4 {
+            let is_digit = position <= chunk.len();
+            text.push(if is_digit {
+                BASE64[(bits >> (18 - 6 * position) & 63) as usize] as char
+            } else {
+                '='
+            });
         }
     }
     text
 }
 
-fn write_action(out: &mut impl Write, action: &Action) -> std::io::Result<()> {
-    let call = |id: &RequestId| String::from_utf8_lossy(&id.0).into_owned();
+/// Writes the line of an action.
+fn write_action(output: &mut impl Write, action: &Action) -> std::io::Result<()> {
+    let call_id = |id: &RequestId| String::from_utf8_lossy(&id.0).into_owned();
     match action {
         Action::Send { request, server, timeout } => {
-            write!(out, "ATTEMPT Call={} Host={}", call(request), server.0)?;
+            write!(output, "ATTEMPT Call={} Host={}", call_id(request), server.0)?;
             match timeout {
-                Some(us) => writeln!(out, " GiveUpAfterMs={}", ms(*us)),
-                None => writeln!(out),
+                Some(us) => writeln!(output, " GiveUpAfterMs={}", format_ms(*us)),
+                None => writeln!(output),
             }
         }
         Action::Cancel { request, attempt } => {
-            writeln!(out, "UNDO_SEND Call={} Leg={attempt}", call(request))
+            writeln!(output, "UNDO_SEND Call={} Leg={attempt}", call_id(request))
         }
         Action::Refuse { request, retry_after } => {
-            write!(out, "SHED Call={}", call(request))?;
+            write!(output, "SHED Call={}", call_id(request))?;
             match retry_after {
-                Some(us) => writeln!(out, " CoolDownMs={}", ms(*us)),
-                None => writeln!(out),
+                Some(us) => writeln!(output, " CoolDownMs={}", format_ms(*us)),
+                None => writeln!(output),
             }
         }
-        Action::Fail(request) => writeln!(out, "DROP_REQUEST Call={}", call(request)),
-        Action::Move(request) => writeln!(out, "MOVE Call={}", call(request)),
+        Action::Fail(request) => writeln!(output, "DROP_REQUEST Call={}", call_id(request)),
+        Action::Move(request) => writeln!(output, "MOVE Call={}", call_id(request)),
         Action::HoldPlace { request, server } => {
-            writeln!(out, "HOLD_PLACE Call={} Host={}", call(request), server.0)
+            writeln!(output, "HOLD_PLACE Call={} Host={}", call_id(request), server.0)
+        }
+        Action::Release(request) => writeln!(output, "DROP_STATE Call={}", call_id(request)),
+        Action::SetTimer { at, timer } => {
+            writeln!(output, "SET_TIMER AlarmTimeMs={} Ref={}", format_ms(*at), timer.0)
         }
-        Action::Release(request) => writeln!(out, "DROP_STATE Call={}", call(request)),
-        Action::SetTimer { at, timer } => writeln!(out, "SET_TIMER AlarmTimeMs={} Ref={}", ms(*at), timer.0),
-        Action::Probe(server) => writeln!(out, "HEALTH_CHECK Host={}", server.0),
-        Action::CloseIdle(server) => writeln!(out, "FREE_LINKS Host={}", server.0),
-        Action::Watch(on) => writeln!(out, "KEEP_INFORMED On={}", u8::from(*on)),
-        Action::FetchList => writeln!(out, "QUERY_ALL"),
+        Action::Probe(server) => writeln!(output, "HEALTH_CHECK Host={}", server.0),
+        Action::CloseIdle(server) => writeln!(output, "FREE_LINKS Host={}", server.0),
+        Action::Watch(on) => writeln!(output, "KEEP_INFORMED On={}", u8::from(*on)),
+        Action::FetchList => writeln!(output, "QUERY_ALL"),
         Action::SendToDispatchers { to, payload } => {
             let to = to.map_or(-1, i64::from);
-            writeln!(out, "BROADCAST_TO Peer={to} Payload={}", encode(payload))
+            writeln!(output, "BROADCAST_TO Peer={to} Payload={}", encode_base64(payload))
         }
-        Action::Explain(_) => Ok(()), // nobody observes there
-        Action::Ejected(server) => writeln!(out, "PRINT Msg=server {} in doubt", server.0),
-        Action::Log(text) => writeln!(out, "PRINT Msg={}", text.replace(['\r', '\n'], " ")),
+        // Instances of this adapter are not observed, so they emit no explanations.
+        Action::Explain(_) => Ok(()),
+        Action::Ejected(server) => writeln!(output, "PRINT Msg=server {} in doubt", server.0),
+        Action::Log(text) => writeln!(output, "PRINT Msg={}", text.replace(['\r', '\n'], " ")),
     }
 }
 
-/// Reads lines and counts them.
-struct Lines<R> {
+/// Reads lines and counts them for error messages.
+struct LineReader<R> {
     input: R,
     number: u64,
     line: Vec<u8>,
 }
 
-impl<R: BufRead> Lines<R> {
-    fn next(&mut self) -> Result<Option<&str>, WireError> {
+impl<R: BufRead> LineReader<R> {
+    /// Returns the next line without its line feed, or `None` at the end of the input.
+    fn next_line(&mut self) -> Result<Option<&str>, WireError> {
         self.line.clear();
         self.number += 1;
         if self.input.read_until(b'\n', &mut self.line)? == 0 {
@@ -358,54 +385,64 @@
         }
         match std::str::from_utf8(&self.line) {
             Ok(text) => Ok(Some(text)),
-            Err(_) => Err(at_line(self.number, Fault { field: "line".into(), problem: "not UTF-8".into() })),
+            Err(_) => {
+                Err(error_at_line(self.number, Fault { field: "line".into(), problem: "not UTF-8".into() }))
+            }
         }
     }
 
-    fn expect(&mut self, what: &str) -> Result<&str, WireError> {
+    /// Returns the next line, or an error that names `what` is missing if the input has ended.
+    fn expect_line(&mut self, what: &str) -> Result<&str, WireError> {
         let number = self.number + 1;
-        self.next()?.ok_or_else(|| {
-            at_line(number, Fault { field: what.to_string(), problem: "the input ends before it".into() })
+        self.next_line()?.ok_or_else(|| {
+            error_at_line(
+                number,
+                Fault { field: what.to_string(), problem: "missing, the input has ended".into() },
+            )
         })
     }
 }
 
-fn at_line(line: u64, fault: Fault) -> WireError {
+fn error_at_line(line: u64, fault: Fault) -> WireError {
     WireError::Malformed { line, field: fault.field, problem: fault.problem }
 }
 
-/// All instances of one process.
+/// All router instances of the process.
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u64, Instance>,
-    about: Option<u64>,
-    by: Option<u64>,
+    /// Instance that the latest `ABOUT` of the batch selected.
+    selected: Option<u64>,
+    /// Instance that the latest `BY` of the reply announced.
+    announced: Option<u64>,
     actions: Vec<Action>,
 }
 
 impl Host {
+    /// Returns the selected instance and its number. Errors name the message `name`.
     fn instance(&mut self, name: &str) -> Parsed<(u64, &mut Instance)> {
-        let Some(number) = self.about else {
-            return fault(name, "no ABOUT before it in this batch");
+        let Some(number) = self.selected else {
+            return fault(name, "no ABOUT precedes it in this batch");
         };
         match self.instances.get_mut(&number) {
             Some(instance) => Ok((number, instance)),
-            None => fault(name, format!("instance {number} has not started")),
+            None => fault(name, format!("instance {number} has not been started")),
         }
     }
 
-    /// Takes one line of a batch; gives the size of the list whose entries follow it, if it is one.
-    fn line(
+    /// Handles one line of a batch. If it begins a list, returns the scope of the list and the number of entries that
+    /// follow.
+    fn handle_line(
         &mut self,
         message: &Message,
         now: Micros,
-        out: &mut impl Write,
+        output: &mut impl Write,
     ) -> Parsed<Option<(ListScope, u64)>> {
         match message.name {
-            "ABOUT" => self.about = Some(message.whole("Dispatcher")?),
+            "ABOUT" => self.selected = Some(message.integer("Dispatcher")?),
             "UP" => {
-                let Some(number) = self.about else {
-                    return fault("UP", "no ABOUT before it in this batch");
+                let Some(number) = self.selected else {
+                    return fault("UP", "no ABOUT precedes it in this batch");
                 };
                 self.instances.insert(number, Instance::start(message, now)?);
             }
@@ -420,85 +457,88 @@
                     "1" => ListScope::Full,
                     "2" => ListScope::Cached,
                     "3" => ListScope::Failed,
-                    _ => return fault("Scope", "none of 0, 1, 2 and 3"),
+                    _ => return fault("Scope", "must be 0, 1, 2 or 3"),
                 };
-                return Ok(Some((scope, message.whole_or_zero("NodesList")?)));
+                return Ok(Some((scope, message.integer_or_zero("NodesList")?)));
             }
             name => {
                 let (_, instance) = self.instance(name)?;
                 let event = instance.event(message)?;
-                self.handle(event, now, out)?;
+                self.handle_event(event, now, output)?;
             }
         }
         Ok(None)
     }
 
-    fn handle(&mut self, event: Event, now: Micros, out: &mut impl Write) -> Parsed<()> {
+    /// Passes an event to the selected instance and writes the actions that follow from it.
+    fn handle_event(&mut self, event: Event, now: Micros, output: &mut impl Write) -> Parsed<()> {
         let mut actions = std::mem::take(&mut self.actions);
         let (number, instance) = self.instance("event")?;
         instance.router.handle(now, event, &mut actions);
         let written = (|| {
-            if !actions.is_empty() && self.by != Some(number) {
-                self.by = Some(number);
-                writeln!(out, "BY Dispatcher={number}")?;
+            if !actions.is_empty() && self.announced != Some(number) {
+                self.announced = Some(number);
+                writeln!(output, "BY Dispatcher={number}")?;
             }
-            actions.drain(..).try_for_each(|action| write_action(out, &action))
+            actions.drain(..).try_for_each(|action| write_action(output, &action))
         })();
         self.actions = actions;
         written.or_else(|error| fault("reply", error.to_string()))
     }
 
-    fn batch<R: BufRead>(
+    /// Handles the lines of a batch up to its `FLUSH`, and ends the reply with `READY`.
+    fn handle_batch<R: BufRead>(
         &mut self,
-        lines: &mut Lines<R>,
+        lines: &mut LineReader<R>,
         now: Micros,
-        out: &mut impl Write,
+        output: &mut impl Write,
     ) -> Result<(), WireError> {
-        (self.about, self.by) = (None, None);
+        (self.selected, self.announced) = (None, None);
         loop {
-            let line = lines.expect("FLUSH")?;
+            let line = lines.expect_line("FLUSH")?;
             if line == "FLUSH" {
                 break;
             }
-            let list = Message::parse(line).and_then(|message| self.line(&message, now, out));
-            if let Some((scope, count)) = list.map_err(|fault| at_line(lines.number, fault))? {
+            let list = Message::parse(line).and_then(|message| self.handle_line(&message, now, output));
+            if let Some((scope, count)) = list.map_err(|fault| error_at_line(lines.number, fault))? {
                 let mut entries = Vec::new();
                 for _ in 0..count {
-                    let entry = Message::parse(lines.expect("ITEM")?).and_then(|message| {
+                    let entry = Message::parse(lines.expect_line("ITEM")?).and_then(|message| {
                         if message.name != "ITEM" {
-                            return fault(message.name, "stands where an ITEM is due");
+                            return fault(message.name, "ITEM expected");
                         }
                         self.instance("ITEM")?.1.entry(&message)
                     });
-                    entries.push(entry.map_err(|fault| at_line(lines.number, fault))?);
+                    entries.push(entry.map_err(|fault| error_at_line(lines.number, fault))?);
                 }
                 let event = Event::List(ListUpdate { scope, entries });
-                self.handle(event, now, out).map_err(|fault| at_line(lines.number, fault))?;
+                self.handle_event(event, now, output).map_err(|fault| error_at_line(lines.number, fault))?;
             }
         }
-        out.write_all(b"READY\n")?;
-        out.flush()?;
+        output.write_all(b"READY\n")?;
+        output.flush()?;
         Ok(())
     }
 }
 
-/// Answers batch after batch until the input ends.
+/// Reads batches from `input` and writes a reply to each, until the input ends.
 pub fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), WireError> {
-    let mut lines = Lines { input, number: 0, line: Vec::new() };
+    let mut lines = LineReader { input, number: 0, line: Vec::new() };
     let mut host = Host::default();
-    let mut last = 0;
-    while let Some(line) = lines.next()? {
-        let opened = Message::parse(line).and_then(|message| match message.name {
+    let mut last_round = 0;
+    while let Some(line) = lines.next_line()? {
+        let round_time = Message::parse(line).and_then(|message| match message.name {
             "ROUND" => message.micros("WallMs"),
-            name => fault(name, "stands where a ROUND is due"),
+            name => fault(name, "ROUND expected"),
         });
-        let now = opened.map_err(|fault| at_line(lines.number, fault))?;
-        if now < last {
-            let back = Fault { field: "WallMs".into(), problem: "runs backwards".into() };
-            return Err(at_line(lines.number, back));
+        let now = round_time.map_err(|fault| error_at_line(lines.number, fault))?;
+        if now < last_round {
+            let backwards =
+                Fault { field: "WallMs".into(), problem: "earlier than that of the previous ROUND".into() };
+            return Err(error_at_line(lines.number, backwards));
         }
-        last = now;
-        host.batch(&mut lines, now, &mut output)?;
+        last_round = now;
+        host.handle_batch(&mut lines, now, &mut output)?;
     }
     Ok(())
 }
