--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The five rules, under legal but hostile events from fixed seeds, and one by one.
+//! Tests of the five rules that a router must keep: with random events that the protocol allows, from fixed seeds, and
+//! one by one.
 
 mod common;
 
@@ -7,20 +8,21 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Servers whose ids tell the stand their cell (hundreds) and kind (last digit).
+/// A random fleet. As the harness expects, the hundreds of an id are the server's cell and the last digit its kind.
 fn fleet(rng: &mut Pcg64Mcg) -> Vec<ServerEntry> {
-    let mut all = Vec::new();
+    let mut entries = Vec::new();
     for cell in 0..3 {
-        for n in 0..rng.random_range(2..6) {
+        for position in 0..rng.random_range(2..6) {
             let kind = rng.random_range(0..3u16);
-            all.push(server(cell * 100 + n * 10 + u32::from(kind), KindId(kind), cell));
+            entries.push(server(cell * 100 + position * 10 + u32::from(kind), KindId(kind), cell));
         }
     }
-    all
+    entries
 }
 
+/// Random settings, with a class for each way in which requests may be repeated.
 fn hostile_settings(rng: &mut Pcg64Mcg) -> Settings {
-    let mut s = settings();
+    let mut settings = settings();
     let effects = [
         Effect::Safe,
         Effect::Keyed(KeyGroup::All),
@@ -28,21 +30,22 @@
         Effect::Keyed(KeyGroup::Cell),
         Effect::Unsafe,
     ];
-    s.classes = (effects.iter())
+    settings.classes = (effects.iter())
         .map(|effect| Class { effect: *effect, key_window: rng.random_range(1..4) * S, ..Class::plain() })
         .collect();
-    s.dispatchers = [1, 2, 4, 200][rng.random_range(0..4)];
-    s.limits.attempts = rng.random_range(1..7);
-    s.limits.cancel = rng.random();
-    s.limits.probes = rng.random();
-    s.limits.resume = rng.random();
-    s.limits.writers_read = rng.random();
-    s.rules.release_within = rng.random_range(1..11) * 100 * MS;
-    s.reports =
+    settings.dispatchers = [1, 2, 4, 200][rng.random_range(0..4)];
+    settings.limits.attempts = rng.random_range(1..7);
+    settings.limits.cancel = rng.random();
+    settings.limits.probes = rng.random();
+    settings.limits.resume = rng.random();
+    settings.limits.writers_read = rng.random();
+    settings.rules.release_within = rng.random_range(1..11) * 100 * MS;
+    settings.reports =
         [ReportSource::Answers, ReportSource::Probes, ReportSource::Unavailable][rng.random_range(0..3)];
-    s
+    settings
 }
 
+/// A random load report, or none.
 fn hostile_report(rng: &mut Pcg64Mcg) -> Option<Report> {
     rng.random::<bool>().then(|| Report {
         latency: Some(rng.random_range(0..4 * S)),
@@ -52,9 +55,10 @@
     })
 }
 
-fn hostile_step(harness: &mut Harness, rng: &mut Pcg64Mcg, n: u64) {
-    for k in 0..rng.random_range(0..3) {
-        let mut request = request(n * 10 + k, harness.now);
+/// Feeds new requests, ends of attempts, departing clients, list updates and probe results at random.
+fn hostile_step(harness: &mut Harness, rng: &mut Pcg64Mcg, step: u64) {
+    for index in 0..rng.random_range(0..3) {
+        let mut request = request(step * 10 + index, harness.now);
         request.class = ClassId(rng.random_range(0..5));
         request.session = rng.random::<bool>().then(|| SessionKey(rng.random_range(0..20)));
         request.prefix = rng.random::<bool>().then(|| PrefixKey(rng.random_range(0..4)));
@@ -66,8 +70,8 @@
     let ids: Vec<RequestId> = harness.requests.keys().copied().collect();
     for id in ids {
         let tracked = &harness.requests[&id];
-        let Some(out) = tracked.pending_attempt() else { continue };
-        let a = &tracked.attempts[out];
+        let Some(pending) = tracked.pending_attempt() else { continue };
+        let a = &tracked.attempts[pending];
         if !rng.random_bool(if a.cancelled { 0.7 } else { 0.1 }) {
             continue;
         }
@@ -137,7 +141,7 @@
         let report = hostile_report(rng);
         harness.feed(Event::Probed { server, outcome, took: MS, report });
     }
-    // Odd but legal: timers never set, clients gone twice, outcomes of requests long ended.
+    // Allowed by the protocol, though they refer to nothing: a timer never set, and the client of an unknown request.
     harness.feed(Event::Timer(TimerId(rng.random())));
     harness.feed(Event::ClientGone(RequestId([b'x'; 36])));
 }
@@ -150,8 +154,8 @@
         let settings = hostile_settings(&mut rng);
         let fleet = fleet(&mut rng);
         let mut harness = Harness::new(settings, fleet);
-        for n in 0..300 {
-            hostile_step(&mut harness, &mut rng, n);
+        for step in 0..300 {
+            hostile_step(&mut harness, &mut rng, step);
             harness.advance(rng.random_range(1..30) * MS);
         }
         harness.advance(6 * S);
@@ -162,7 +166,7 @@
     }
     assert!(
         sends > 10_000 && answers > 1_000,
-        "the test must reach the module: {sends} sends, {answers} begun"
+        "too few requests get through for a meaningful test: {sends} sends, {answers} answers begun"
     );
 }
 
@@ -173,8 +177,8 @@
         let settings = hostile_settings(&mut rng);
         let fleet = fleet(&mut rng);
         let mut harness = Harness::new(settings, fleet);
-        for n in 0..200 {
-            hostile_step(&mut harness, &mut rng, n);
+        for step in 0..200 {
+            hostile_step(&mut harness, &mut rng, step);
             harness.advance(20 * MS);
         }
         (harness.sends, harness.log)
@@ -210,7 +214,7 @@
         harness.accept(request);
         harness.end(request.id, Outcome::Read);
         harness.end(request.id, outcome);
-        // The client need not wait for what can't come any more.
+        // No answer is possible any more, so the client must not be kept waiting.
         assert!(harness.requests[&request.id].finished, "{outcome:?}");
         let sent = harness.sends.len();
         harness.advance(11 * S);
@@ -219,7 +223,7 @@
 }
 
 #[test]
-fn a_request_whose_window_for_repeats_has_passed_is_answered_at_once() {
+fn a_keyed_request_is_answered_at_once_after_its_deduplication_window() {
     let mut settings = settings();
     settings.classes[0].effect = Effect::Keyed(KeyGroup::All);
     settings.classes[0].key_window = 300 * MS;
@@ -230,11 +234,11 @@
     harness.end(request.id, Outcome::Read);
     harness.advance(299 * MS);
     harness.end(request.id, Outcome::Reset);
-    // A millisecond is left: it goes out once more, and then never again.
+    // One millisecond of the window is left: the request is sent once more, and then never again.
     assert_eq!(harness.sends.len(), 3);
     harness.advance(MS);
     harness.end(request.id, Outcome::Reset);
-    assert!(harness.requests[&request.id].finished, "nothing can come any more");
+    assert!(harness.requests[&request.id].finished, "no answer is possible any more");
     harness.advance(11 * S);
     assert_eq!(harness.sends.len(), 3);
 }
@@ -251,7 +255,7 @@
 }
 
 #[test]
-fn a_read_that_ends_after_its_request_is_let_go() {
+fn a_read_that_ends_after_its_request_is_released() {
     let mut settings = settings();
     settings.limits.cancel = false;
     let mut harness = Harness::new(settings, vec![server(0, READER, 0), server(1, WRITER, 0)]);
@@ -264,17 +268,17 @@
 }
 
 #[test]
-fn a_cold_server_gets_only_its_part() {
-    for learnt_at_start in [true, false] {
+fn a_cold_server_gets_only_its_share() {
+    for listed_at_start in [true, false] {
         let settings = settings();
         let warm = [server(0, READER, 0), server(10, READER, 0), server(1, WRITER, 0), server(11, WRITER, 0)];
         let cold = |now| ServerEntry { started: Some(now), ..server(20, READER, 0) };
         let mut entries = warm.to_vec();
-        if learnt_at_start {
+        if listed_at_start {
             entries.push(cold(5 * S));
         }
         let mut harness = Harness::new(settings, entries);
-        if !learnt_at_start {
+        if !listed_at_start {
             harness.list(ListScope::Changes, vec![cold(5 * S)]);
         }
         let rules = harness.settings.rules;
@@ -299,35 +303,39 @@
                     .filter(|(at, _, s)| s.0 == id && at + rules.fall_after > harness.now)
                     .count()
             };
-            let borne = (recent(0) + recent(10)) as f64 / 2.0;
-            let most = (rules.fall_multiple * rules.cold_from * borne).max(1.0);
-            assert!(recent(20) as f64 <= most, "{} sent to the cold server, {most} allowed", recent(20));
+            let mean_of_warm = (recent(0) + recent(10)) as f64 / 2.0;
+            let limit = (rules.fall_multiple * rules.cold_from * mean_of_warm).max(1.0);
+            assert!(recent(20) as f64 <= limit, "{} sent to the cold server, {limit} allowed", recent(20));
         }
-        assert!(harness.sends.iter().any(|(_, _, s)| s.0 == 20), "the cold server must get its part");
+        assert!(harness.sends.iter().any(|(_, _, s)| s.0 == 20), "the cold server must get its share");
     }
 }
 
 #[test]
-fn a_state_is_not_pinned_while_writers_are_asked() {
+fn a_state_is_not_held_too_long_while_writers_are_probed() {
     let mut settings = settings();
     settings.limits.probes = true;
     settings.classes[0].aim = 300 * S;
     settings.rules.release_within = 400 * MS;
     let fleet = vec![server(0, READER, 0), server(1, WRITER, 0), server(101, WRITER, 0)];
     let mut harness = Harness::new(settings, fleet);
-    let one = request(1, harness.now);
-    harness.accept(one);
+    let request = request(1, harness.now);
+    harness.accept(request);
     harness.advance(100 * MS);
-    harness.end(one.id, Outcome::Read);
-    harness.advance(S); // the stand watches that the state is taken or let go in time
-    assert!(harness.pending_server(one.id).is_some(), "a writer is taken though none has answered");
+    harness.end(request.id, Outcome::Read);
+    // The harness checks that the state is fetched or released in time.
+    harness.advance(S);
+    assert!(
+        harness.pending_server(request.id).is_some(),
+        "a writer is chosen though none has answered a probe"
+    );
 }
 
-/// One dispatcher of 200 at 2 requests a second. At 5 s a third of the servers refuses every connection and the
-/// list says nothing; probes of the others take 0.2 s, those of the lost ones time out.
+/// One dispatcher of 200 gets 2 requests a second. After 5 s a third of the servers refuses every connection, while the
+/// list stays unchanged. Probes of the other servers take 0.2 s; those of the lost ones time out.
 #[test]
-fn a_third_of_a_large_list_is_lost_at_once_behind_thin_traffic() {
-    let (mut served, mut asked) = (0, 0);
+fn requests_are_answered_after_a_third_of_many_servers_is_lost_at_low_traffic() {
+    let (mut answered, mut total) = (0, 0);
     for seed in 0..20 {
         let mut settings = settings();
         (settings.dispatchers, settings.limits.probes) = (200, true);
@@ -335,10 +343,10 @@
         let zone = |entry: &ServerEntry| ServerEntry { zone: ZoneId(0), ..*entry };
         let mut harness = Harness::with_seed(settings, fleet.iter().map(zone).collect(), seed);
         let mut probes: Vec<(Micros, ServerId)> = Vec::new();
-        let mut fetched = Vec::new();
+        let mut requests = Vec::new();
         for step in 0..400_u64 {
             if step % 10 == 0 {
-                fetched.push(request(step, harness.now));
+                requests.push(request(step, harness.now));
                 harness.accept(request(step, harness.now));
             }
             harness.advance(50 * MS);
@@ -350,10 +358,10 @@
                 let report = (!lost(server)).then(Report::default);
                 harness.feed(Event::Probed { server, outcome, took: 200 * MS, report });
             }
-            for id in fetched.iter().map(|r| r.id) {
+            for id in requests.iter().map(|r| r.id) {
                 match harness.pending_server(id) {
-                    Some(to) if lost(to) => harness.end(id, Outcome::ConnectFailed),
-                    Some(to) if to.0 % 2 == 0 => harness.end(id, Outcome::Read),
+                    Some(server) if lost(server) => harness.end(id, Outcome::ConnectFailed),
+                    Some(server) if server.0 % 2 == 0 => harness.end(id, Outcome::Read),
                     Some(_) => {
                         harness.start(id);
                         harness.end(id, Outcome::Served);
@@ -363,9 +371,12 @@
             }
         }
         harness.advance(2 * S);
-        asked += fetched.len();
-        served +=
-            fetched.iter().filter(|r| harness.requests[&r.id].attempts.iter().any(|a| a.started)).count();
+        total += requests.len();
+        answered +=
+            requests.iter().filter(|r| harness.requests[&r.id].attempts.iter().any(|a| a.started)).count();
     }
-    assert!(served * 10 >= asked * 9, "{served} of {asked} were begun, with two thirds of the servers left");
+    assert!(
+        answered * 10 >= total * 9,
+        "{answered} of {total} requests were answered, with two thirds of the servers left"
+    );
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The built adapter, driven by a transcript of the project's own making.
+//! Tests of the built adapter, driven by a transcript in the simulator's line protocol.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -11,11 +11,12 @@
 
 struct Reply {
     code: i32,
-    out: String,
-    err: String,
+    stdout: String,
+    stderr: String,
 }
 
-fn host(input: &[u8]) -> Reply {
+/// Runs the adapter on the input until it exits.
+fn run_adapter(input: &[u8]) -> Reply {
     let mut child = Command::new(env!("CARGO_BIN_EXE_milletseam-wirehost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -25,90 +26,94 @@
     let mut stdin = child.stdin.take().expect("a pipe");
     let input = input.to_vec();
     let writer = std::thread::spawn(move || drop(stdin.write_all(&input)));
-    let (mut out, mut err) = (String::new(), String::new());
-    child.stdout.take().expect("a pipe").read_to_string(&mut out).expect("text");
-    child.stderr.take().expect("a pipe").read_to_string(&mut err).expect("text");
-    writer.join().expect("the writer ends");
-    Reply { code: child.wait().expect("it ends").code().unwrap_or(-1), out, err }
+    let (mut stdout, mut stderr) = (String::new(), String::new());
+    child.stdout.take().expect("a pipe").read_to_string(&mut stdout).expect("text");
+    child.stderr.take().expect("a pipe").read_to_string(&mut stderr).expect("text");
+    writer.join().expect("the writer thread ends");
+    Reply { code: child.wait().expect("the adapter exits").code().unwrap_or(-1), stdout, stderr }
 }
 
-fn call(n: u32) -> String {
+fn call_id(n: u32) -> String {
     format!("5d3a91c4-7b68-4591-a4f2-{n:012}")
 }
 
-/// Instances start, get a list and a request each, and read, write and end it.
+/// Starts the instances and gives each a list of servers and a request, which is read and whose answer begins.
 fn transcript(instances: &[u32]) -> String {
     let mut text = "ROUND WallMs=1000.0\nFLUSH\nROUND WallMs=1002.0\n".to_string();
-    for i in instances {
-        text +=
-            &format!("ABOUT Dispatcher={i}\nUP InitSeed=9 Info={INFO}\nTOPOLOGY Scope=2 Rev=4 NodesList=2\n");
+    for number in instances {
+        text += &format!(
+            "ABOUT Dispatcher={number}\nUP InitSeed=9 Info={INFO}\nTOPOLOGY Scope=2 Rev=4 NodesList=2\n"
+        );
         text += "ITEM Host=7 Campus=a Hw=r Cluster=0 Health=0 Share=1\n";
         text += "ITEM Host=4294967295 Campus=b Hw=w Cluster=1 Health=0 Share=1.5 OnlineSinceMs=100.5\n";
     }
     text += "FLUSH\nROUND WallMs=1004.25\n";
-    for i in instances {
+    for number in instances {
         let rest = "Service=ask MaxTokens=256 PrefixTokens=1200 SessionId=s:1 SharedPrefix=p:2 NPrompt=1800";
-        text += &format!("ABOUT Dispatcher={i}\nACCEPT Call={} ExpiresMs=4000.5 {rest} New=x\n", call(*i));
+        text += &format!(
+            "ABOUT Dispatcher={number}\nACCEPT Call={} ExpiresMs=4000.5 {rest} New=x\n",
+            call_id(*number)
+        );
     }
     text += "FLUSH\nROUND WallMs=1100\n";
-    for i in instances {
-        let call = call(*i);
+    for number in instances {
+        let call_id = call_id(*number);
         text += &format!(
-            "ABOUT Dispatcher={i}\nFINISHED Call={call} Rc=102 Host=7 Leg=0 CostTimeMs=90 Usage=14.5,0.4,1.25\n"
+            "ABOUT Dispatcher={number}\nFINISHED Call={call_id} Rc=102 Host=7 Leg=0 CostTimeMs=90 Usage=14.5,0.4,1.25\n"
         );
     }
     text += "FLUSH\nROUND WallMs=1150\n";
-    for i in instances {
-        let call = call(*i);
+    for number in instances {
+        let call_id = call_id(*number);
         text += &format!(
-            "ABOUT Dispatcher={i}\nACK_FIRST Call={call} Leg=1 Host=4294967295 CostTimeMs=40\nFIRED Ref=99999\n"
+            "ABOUT Dispatcher={number}\nACK_FIRST Call={call_id} Leg=1 Host=4294967295 CostTimeMs=40\nFIRED Ref=99999\n"
         );
     }
     text + "FLUSH\n"
 }
 
-/// The actions of each instance, in order, without the frames of the replies.
-fn by_instance(out: &str) -> BTreeMap<String, Vec<String>> {
-    let (mut by, mut current) = (BTreeMap::<String, Vec<String>>::new(), String::new());
-    for line in out.lines() {
+/// The actions of each instance in order, without the `BY` and `READY` lines.
+fn actions_by_instance(output: &str) -> BTreeMap<String, Vec<String>> {
+    let (mut actions, mut current) = (BTreeMap::<String, Vec<String>>::new(), String::new());
+    for line in output.lines() {
         match line.strip_prefix("BY Dispatcher=") {
             Some(number) => current = number.to_string(),
             None if line == "READY" => current.clear(),
-            None => by.entry(current.clone()).or_default().push(line.to_string()),
+            None => actions.entry(current.clone()).or_default().push(line.to_string()),
         }
     }
-    by
+    actions
 }
 
 #[test]
 fn a_request_is_read_and_written() {
-    let reply = host(transcript(&[3]).as_bytes());
-    assert_eq!((reply.code, reply.err.as_str()), (0, ""));
-    assert_eq!(reply.out.matches("READY").count(), 5);
-    let actions = &by_instance(&reply.out)["3"];
+    let reply = run_adapter(transcript(&[3]).as_bytes());
+    assert_eq!((reply.code, reply.stderr.as_str()), (0, ""));
+    assert_eq!(reply.stdout.matches("READY").count(), 5);
+    let actions = &actions_by_instance(&reply.stdout)["3"];
     let sends: Vec<_> = actions.iter().filter(|a| a.starts_with("ATTEMPT")).collect();
-    let call = call(3);
+    let call_id = call_id(3);
     assert_eq!(
         sends,
-        [&format!("ATTEMPT Call={call} Host=7"), &format!("ATTEMPT Call={call} Host=4294967295")]
+        [&format!("ATTEMPT Call={call_id} Host=7"), &format!("ATTEMPT Call={call_id} Host=4294967295")]
     );
 }
 
 #[test]
-fn instances_act_alike_in_one_process_and_in_several() {
-    let together = by_instance(&host(transcript(&[0, 1, 5]).as_bytes()).out);
+fn instances_behave_alike_in_one_process_and_in_several() {
+    let together = actions_by_instance(&run_adapter(transcript(&[0, 1, 5]).as_bytes()).stdout);
     assert_eq!(together.len(), 3);
-    for i in [0, 1, 5] {
-        let alone = by_instance(&host(transcript(&[i]).as_bytes()).out);
-        assert_eq!(together[&i.to_string()], alone[&i.to_string()]);
+    for number in [0, 1, 5] {
+        let alone = actions_by_instance(&run_adapter(transcript(&[number]).as_bytes()).stdout);
+        assert_eq!(together[&number.to_string()], alone[&number.to_string()]);
     }
 }
 
 #[test]
 fn an_instance_may_restart_within_a_batch() {
     let restart = format!("ROUND WallMs=2000\nABOUT Dispatcher=3\nEXIT\nUP InitSeed=2 Info={INFO}\nFLUSH\n");
-    let reply = host((transcript(&[3]) + &restart).as_bytes());
-    assert_eq!((reply.code, reply.err.as_str()), (0, ""));
+    let reply = run_adapter((transcript(&[3]) + &restart).as_bytes());
+    assert_eq!((reply.code, reply.stderr.as_str()), (0, ""));
 }
 
 #[test]
@@ -132,17 +137,18 @@
         ("FIRED  Ref=1", "FIRED"),
         ("ABOUT Dispatcher=9\nFIRED Ref=1", "FIRED"),
     ] {
-        let reply = host(format!("{start}ROUND WallMs=3000\nABOUT Dispatcher=3\n{bad}\nFLUSH\n").as_bytes());
+        let reply =
+            run_adapter(format!("{start}ROUND WallMs=3000\nABOUT Dispatcher=3\n{bad}\nFLUSH\n").as_bytes());
         assert_ne!(reply.code, 0, "{bad}");
         let line = line + bad.matches('\n').count();
         let expected = format!("milletseam-wirehost: line {line}: {field}");
-        assert!(reply.err.starts_with(&expected), "{bad}: {}", reply.err);
-        assert_eq!(reply.err.lines().count(), 1, "{}", reply.err);
+        assert!(reply.stderr.starts_with(&expected), "{bad}: {}", reply.stderr);
+        assert_eq!(reply.stderr.lines().count(), 1, "{}", reply.stderr);
     }
-    let late = host(b"ROUND WallMs=5\nFLUSH\nROUND WallMs=4\nFLUSH\n");
-    assert!(late.err.contains("line 3: WallMs"), "{}", late.err);
-    assert!(host(b"ROUND WallMs=5\n").err.contains("line 2: FLUSH"));
-    assert!(host(b"ROUND WallMs=5\n\xff\n").err.contains("line 2: line: not UTF-8"));
+    let backwards = run_adapter(b"ROUND WallMs=5\nFLUSH\nROUND WallMs=4\nFLUSH\n");
+    assert!(backwards.stderr.contains("line 3: WallMs"), "{}", backwards.stderr);
+    assert!(run_adapter(b"ROUND WallMs=5\n").stderr.contains("line 2: FLUSH"));
+    assert!(run_adapter(b"ROUND WallMs=5\n\xff\n").stderr.contains("line 2: line: not UTF-8"));
 }
 
 #[test]
