--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -55,7 +55,8 @@
     })
 }
 
-/// Feeds new requests, ends of attempts, departing clients, list updates and probe results at random.
+/// Feeds new requests, ends of attempts, departing clients, list updates and probe results at random. Attempts of
+/// requests that have already ended are ended as well.
 fn hostile_step(harness: &mut Harness, rng: &mut Pcg64Mcg, step: u64) {
     for index in 0..rng.random_range(0..3) {
         let mut request = request(step * 10 + index, harness.now);
@@ -141,7 +142,8 @@
         let report = hostile_report(rng);
         harness.feed(Event::Probed { server, outcome, took: MS, report });
     }
-    // Allowed by the protocol, though they refer to nothing: a timer never set, and the client of an unknown request.
+    // Allowed by the protocol, though they refer to nothing: a timer never set, and the
+    // client of an unknown request, which leaves in every step.
     harness.feed(Event::Timer(TimerId(rng.random())));
     harness.feed(Event::ClientGone(RequestId([b'x'; 36])));
 }
