--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -62,7 +62,7 @@
 }
 
 /// A request that was fed to the router.
-pub struct Tracked {
+pub struct TrackedRequest {
     pub request: Request,
     pub attempts: Vec<TrackedAttempt>,
     /// Whether the router has given the final answer, or was informed that the request has ended.
@@ -73,7 +73,7 @@
     pub held_since: Option<Micros>,
 }
 
-impl Tracked {
+impl TrackedRequest {
     /// Returns the number of the attempt in flight.
     pub fn pending_attempt(&self) -> Option<usize> {
         self.attempts.iter().position(|a| a.ended.is_none())
@@ -88,7 +88,7 @@
     pub entries: BTreeMap<ServerId, ServerEntry>,
     /// All servers that any list has contained.
     pub ever_listed: BTreeSet<ServerId>,
-    pub requests: BTreeMap<RequestId, Tracked>,
+    pub requests: BTreeMap<RequestId, TrackedRequest>,
     pub timers: BTreeSet<(Micros, TimerId)>,
     /// Probes that the router has sent; the tests take them out.
     pub probes: Vec<ServerId>,
@@ -134,8 +134,13 @@
 
     /// Feeds a new request to the router.
     pub fn accept(&mut self, request: Request) {
-        let tracked =
-            Tracked { request, attempts: Vec::new(), finished: false, settled: false, held_since: None };
+        let tracked = TrackedRequest {
+            request,
+            attempts: Vec::new(),
+            finished: false,
+            settled: false,
+            held_since: None,
+        };
         self.requests.insert(request.id, tracked);
         self.feed(Event::Request(request));
     }
@@ -288,7 +293,8 @@
         }
     }
 
-    /// Returns true if the request may have run in this attempt. A read has no effect, so it does not count.
+    /// Returns true if the request may have run in this attempt. Any attempt in flight counts; one that has ended does
+    /// not count if it was a read, because reads have no effect.
     fn may_have_run(&self, a: &TrackedAttempt) -> bool {
         let reads = self.kind(a.server) == Some(Role::Reader);
         match a.ended {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -161,7 +161,7 @@
             harness.advance(rng.random_range(1..30) * MS);
         }
         harness.advance(6 * S);
-        let unanswered = |t: &&Tracked| !t.finished && !t.attempts.iter().any(|a| a.started);
+        let unanswered = |t: &&TrackedRequest| !t.finished && !t.attempts.iter().any(|a| a.started);
         assert_eq!(harness.requests.values().filter(unanswered).count(), 0, "seed {seed}");
         sends += harness.sends.len();
         answers += harness.requests.values().filter(|t| t.attempts.iter().any(|a| a.started)).count();
