--- a/src/program/cli/mod.rs
+++ b/src/program/cli/mod.rs
@@ -128,7 +128,7 @@
         tracing::info!(name, version = env!("CARGO_PKG_VERSION"), "started");
         life.run().await
     })?;
-    println!("{}", figures::line(&counted.figures()));
+    println!("{}", figures::line(&counted.all_metrics()));
     Ok(())
 }
 
--- a/src/program/life.rs
+++ b/src/program/life.rs
@@ -28,11 +28,11 @@
 use crate::transport::front::operators::{self, Operators, OperatorsListener};
 use crate::transport::front::platform::{self, Front};
 use crate::transport::front::rpc::RpcFront;
-use crate::transport::hub::message::Counted;
+use crate::transport::hub::message::Counters;
 use crate::transport::hub::{self, message::Hub};
-use crate::transport::inherited::inherited;
+use crate::transport::inherited::inherited_listener;
 use crate::transport::peer::connector::Clients;
-use crate::transport::peer::{Common, Dialect};
+use crate::transport::peer::{Dialect, PeerContext};
 
 /// The deadline is counted as at least this by those who send SIGKILL...
 const LEAST_DEADLINE: Micros = 3_000_000;
@@ -73,7 +73,7 @@
     /// Reads the configuration that the environment names, and the operator's document if one is given.
     pub fn read(operator: Option<&str>) -> Result<Self, ProgramError> {
         // First of all: a descriptor opened before might get the number.
-        let accept = variable("LB_ACCEPT_FD").map(|number| inherited(&number)).transpose()?;
+        let accept = variable("LB_ACCEPT_FD").map(|number| inherited_listener(&number)).transpose()?;
         let path = variable("LB_CONFIG").ok_or(ProgramError::Variable("LB_CONFIG"))?;
         let operator = match operator {
             Some(path) => Operator::parse(&Source::new(path, read(path)?))?,
@@ -144,7 +144,8 @@
         let names = config.settings.clone().names();
         let clients = Clients::new(links, &budget.peers);
         let fields = names.report.clone().into();
-        let common = Common { pool, hub: hub.clone(), clients, links, dialect: Dialect::Platform, fields };
+        let common =
+            PeerContext { pool, hub: hub.clone(), clients, links, dialect: Dialect::Platform, fields };
         actor.add_pool(common, names.classes.clone());
         let listener = match accept {
             Some(accept) => Listener::adopt(accept, budget.fronts.clone())?,
@@ -227,7 +228,7 @@
     }
 
     /// Serves until SIGTERM, then finishes; gives the counters at the end.
-    pub async fn run(mut self) -> Result<Counted, ProgramError> {
+    pub async fn run(mut self) -> Result<Counters, ProgramError> {
         let mut serving = JoinSet::new();
         tokio::spawn(self.connections.clone().keep_time());
         if let Some(admin) = self.admin {
@@ -247,7 +248,7 @@
             tokio::select! {
                 _ = &mut known, if starting => self.connections.feed(Input::Able),
                 _ = self.terminate.recv() => break,
-                _ = self.report.recv() => println!("{}", figures::line(&self.hub.counted().await.figures())),
+                _ = self.report.recv() => println!("{}", figures::line(&self.hub.counters().await.all_metrics())),
                 Some(ended) = serving.join_next() => ended.map_err(io::Error::other)?,
             }
         }
@@ -255,7 +256,7 @@
         // What is still open then would be cut off by the kill as well.
         let ended = async { while serving.join_next().await.is_some() {} };
         let _ = tokio::time::timeout(self.longest + BEFORE_KILL, ended).await;
-        let counted = self.hub.counted().await;
+        let counted = self.hub.counters().await;
         self.connections.feed(Input::Done);
         Ok(counted)
     }
--- a/src/program/lists.rs
+++ b/src/program/lists.rs
@@ -19,7 +19,7 @@
 use crate::transport::hub::message::Hub;
 use crate::transport::list::discovery::Watcher;
 use crate::transport::list::files::{self, Directory};
-use crate::transport::list::{ListActor, ListParts, Try, age, keep};
+use crate::transport::list::{ListActor, ListParts, TrialRunner, age, keep};
 use crate::transport::peer::connector;
 use crate::transport::peer::idle::ConnectionBudget;
 
@@ -76,11 +76,11 @@
         });
         let version = match self.known {
             Known::List(known) => {
-                list.known(known).await;
+                list.feed_known_list(known).await;
                 Some(known.revision).filter(|_| !known.members.is_empty())
             }
             Known::Servers(known) => {
-                list.known_servers(known).await;
+                list.feed_known_servers(known).await;
                 None
             }
         };
@@ -112,7 +112,7 @@
 }
 
 /// What tries each new set, if documents of expectations are set up.
-fn guard(watched: &Watched, frame: Frame) -> Result<Option<Try>, ProgramError> {
+fn guard(watched: &Watched, frame: Frame) -> Result<Option<TrialRunner>, ProgramError> {
     if watched.expectations.is_empty() {
         return Ok(None);
     }
@@ -136,7 +136,8 @@
     let kept = match &watched.state {
         Some(state) => keep::load(state).and_then(|kept| {
             let Some(kept) = kept else { return Ok(None) };
-            let sets = kept.sets().map_err(|error| keep::KeepError::Kept { path: state.clone(), error })?;
+            let sets =
+                kept.sets().map_err(|error| keep::KeepError::Invalid { path: state.clone(), error })?;
             Ok(Some((kept, sets)))
         }),
         None => Ok(None),
@@ -145,21 +146,21 @@
     match kept {
         Ok(Some((kept, sets))) => {
             kept_age = Some((kept.generation, age(kept.unix_s)));
-            list.saved(kept.generation, sets).await;
+            list.feed_saved_set(kept.generation, sets).await;
         }
         Ok(None) => {}
         Err(error) => tracing::warn!(%error, "the set of servers that was kept is not trusted"),
     }
     let mut directory = Directory::new(&watched.directory, watched.most_bytes);
     let scan = directory.scan();
-    list.scanned(scan.clone()).await;
-    let refused: Vec<_> = list.refused().to_vec();
+    list.feed_first_scan(scan.clone()).await;
+    let refused: Vec<_> = list.refusals().to_vec();
     let bad = refused.iter().any(|refusal| *refusal.reason != Reason::Resting);
     match kept_age {
-        Some((generation, age)) if bad && list.has_set() => {
+        Some((generation, age)) if bad && list.has_accepted_set() => {
             tracing::warn!(generation, age, "the files are refused: beginning from the set that was kept");
         }
-        _ if !list.has_set() && (bad || refused.is_empty()) => {
+        _ if !list.has_accepted_set() && (bad || refused.is_empty()) => {
             let directory = watched.directory.display().to_string();
             return Err(ProgramError::NoServers { directory, refusals: refused });
         }
--- a/src/program/plugin.rs
+++ b/src/program/plugin.rs
@@ -53,7 +53,7 @@
 
     /// The counters.
     pub async fn totals(&self) -> Totals {
-        self.hub().counted().await.totals
+        self.hub().counters().await.totals
     }
 
     fn hub(&self) -> &Hub {
--- a/src/program/tools.rs
+++ b/src/program/tools.rs
@@ -13,14 +13,14 @@
 use crate::transport::clock::Clock;
 use crate::transport::hub::message::Hub;
 use crate::transport::peer::connector::Clients;
-use crate::transport::peer::{Common, Dialect};
+use crate::transport::peer::{Dialect, PeerContext};
 use crate::transport::relay::{Relay, Tool};
 
 /// What the peers of the tool servers' pool share.
-pub(super) fn common(rpc: &Rpc, pool: PoolId, hub: &Hub) -> Common {
+pub(super) fn common(rpc: &Rpc, pool: PoolId, hub: &Hub) -> PeerContext {
     let clients = Clients::new(rpc.links, &hub.budget().peers);
     let fields = rpc.names.report.clone().into();
-    Common { pool, hub: hub.clone(), clients, links: rpc.links, dialect: Dialect::Tools, fields }
+    PeerContext { pool, hub: hub.clone(), clients, links: rpc.links, dialect: Dialect::Tools, fields }
 }
 
 /// Hands on the list and watches it; gives the way of calls to the servers.
@@ -33,7 +33,7 @@
 ) -> Result<Relay, ProgramError> {
     let tool = |class: crate::interface::ClassId| {
         let about = rpc.settings.classes.get(usize::from(class.0))?;
-        Some(Tool { class, fragile: about.effect != Effect::Safe, deadline: about.deadline })
+        Some(Tool { class, has_side_effects: about.effect != Effect::Safe, deadline: about.deadline })
     };
     let tools = rpc.tools.iter().filter_map(|(name, class)| Some((name.clone(), tool(*class)?)));
     let list = Start {
@@ -52,7 +52,7 @@
         pool,
         tools: Arc::new(tools.collect()),
         path: rpc.path.as_str().into(),
-        prefix: prefix.into(),
-        numbers: Arc::new(AtomicU64::new(0)),
+        id_prefix: prefix.into(),
+        next_number: Arc::new(AtomicU64::new(0)),
     })
 }
--- a/src/transport/export.rs
+++ b/src/transport/export.rs
@@ -29,7 +29,7 @@
     let mut tick = every(to.every);
     loop {
         tick.tick().await;
-        let text = graphite::lines(&to.prefix, &hub.counted().await.figures(), unix_s());
+        let text = graphite::lines(&to.prefix, &hub.counters().await.all_metrics(), unix_s());
         let sending = async {
             let mut stream = TcpStream::connect(&to.address).await?;
             stream.write_all(text.as_bytes()).await?;
@@ -44,7 +44,7 @@
     let mut tick = every(to.every);
     loop {
         tick.tick().await;
-        let counters = hub.counted().await.figures();
+        let counters = hub.counters().await.all_metrics();
         let text = collectd::putvals(&to.host, &counters, to.every.as_secs_f64(), unix_s());
         let sending = async {
             let (reader, mut writer) = UnixStream::connect(&to.socket).await?.into_split();
--- a/src/transport/front/operators.rs
+++ b/src/transport/front/operators.rs
@@ -86,8 +86,8 @@
 }
 
 async fn stats(State(operators): State<Operators>) -> Response {
-    let counted = operators.hub.counted().await;
-    (StatusCode::OK, figures::lines(&counted.service())).into_response()
+    let counted = operators.hub.counters().await;
+    (StatusCode::OK, figures::lines(&counted.service_metrics())).into_response()
 }
 
 /// Where operators call.
--- a/src/transport/front/platform.rs
+++ b/src/transport/front/platform.rs
@@ -21,7 +21,7 @@
 use crate::protocol::settings::Names;
 use crate::recovery::Phase;
 use crate::routing::{Admission, PoolId};
-use crate::transport::hub::message::{Body, Broken, Hub, Part, Payload, Reply, Ticket};
+use crate::transport::hub::message::{Body, Hub, IncompleteStream, Part, Payload, Reply, RequestHandle};
 
 /// What the handlers of the platform's front share.
 #[derive(Clone)]
@@ -85,7 +85,7 @@
     let admission = Admission { pool: front.pool, request: heading.request, time_left: heading.time_left };
     match front.hub.submit(admission, payload).await {
         (Reply::Stream(body), ticket) => {
-            let kind = body.kind.clone().unwrap_or(HeaderValue::from_static("text/event-stream"));
+            let kind = body.content_type.clone().unwrap_or(HeaderValue::from_static("text/event-stream"));
             ([(CONTENT_TYPE, kind)], axum::body::Body::new(Events { body, broken: false, _ticket: ticket }))
                 .into_response()
         }
@@ -99,7 +99,7 @@
         // Never 429 or 503: those promise that trying again is harmless.
         (Reply::Failed { overdue: true, .. }, _) => StatusCode::GATEWAY_TIMEOUT.into_response(),
         (Reply::Failed { may_have_run: true, .. }, _) => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
-        (Reply::IdIsOpen, _) => StatusCode::CONFLICT.into_response(),
+        (Reply::IdInUse, _) => StatusCode::CONFLICT.into_response(),
         (Reply::Failed { .. }, _) => StatusCode::BAD_GATEWAY.into_response(),
     }
 }
@@ -109,7 +109,7 @@
 }
 
 /// A server's events on their way to the client; dropping it tells that the client has left.
-struct Events<T = Ticket> {
+struct Events<T = RequestHandle> {
     body: Body,
     /// The answer has broken off, and what came of it is being written.
     broken: bool,
@@ -118,18 +118,18 @@
 
 impl<T: Unpin> http_body::Body for Events<T> {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = IncompleteStream;
 
     /// An answer that broke off is an error here, so that the connection ends without the last chunk. It comes one turn
     /// later: with an error hyper drops what it has not written yet, and an answer of which nothing came is lost.
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteStream>>> {
         Poll::Ready(match ready!(self.body.parts.poll_recv(cx)) {
             Some(Part::Data(bytes)) => Some(Ok(Frame::data(bytes))),
             Some(Part::End) => None,
-            None if self.broken => Some(Err(Broken)),
+            None if self.broken => Some(Err(IncompleteStream)),
             None => {
                 self.broken = true;
                 cx.waker().wake_by_ref();
--- a/src/transport/front/platform/tests.rs
+++ b/src/transport/front/platform/tests.rs
@@ -16,7 +16,7 @@
             let (sender, parts) = tokio::sync::mpsc::channel(2);
             let event = Bytes::from_static(b"data: 1\n\n");
             sender.try_send(Part::Data(event)).expect("room");
-            let events = Events { body: Body { kind: None, parts }, broken: false, _ticket: () };
+            let events = Events { body: Body { content_type: None, parts }, broken: false, _ticket: () };
             Ok::<_, Infallible>(Response::new(axum::body::Body::new(events)))
         });
         let served =
--- a/src/transport/front/rpc.rs
+++ b/src/transport/front/rpc.rs
@@ -22,7 +22,7 @@
 use crate::protocol::jsonrpc::{self, Message, Post, RpcError};
 use crate::protocol::platform::TIME_LEFT;
 use crate::protocol::settings::digest;
-use crate::transport::relay::{Call, Relay, Told, Tool};
+use crate::transport::relay::{Call, ClientSender, Relay, Tool};
 
 /// Messages to a client that may wait.
 const MESSAGES_AHEAD: usize = 64;
@@ -119,7 +119,7 @@
 }
 
 impl RpcFront {
-    fn tell(&self, told: &Told, id: Value, result: Result<Value, RpcError>) {
+    fn tell(&self, told: &ClientSender, id: Value, result: Result<Value, RpcError>) {
         let told = told.clone();
         tokio::spawn(async move { told.send(jsonrpc::response(&id, &result)).await });
     }
@@ -145,7 +145,7 @@
     }
 
     /// Runs a call, and tells the client its one final answer.
-    fn call(&self, caller: &Caller, id: Value, method: &str, params: Value, told: &Told) {
+    fn call(&self, caller: &Caller, id: Value, method: &str, params: Value, told: &ClientSender) {
         let tool = match self.relay.tool(method, &params) {
             Ok(tool) => tool,
             Err(error) => return self.tell(told, id, Err(error)),
@@ -180,7 +180,7 @@
 }
 
 impl Entry {
-    async fn drive(self, call: Call, tool: Tool, cancel: Arc<Notify>, told: Told) {
+    async fn drive(self, call: Call, tool: Tool, cancel: Arc<Notify>, told: ClientSender) {
         let id = call.id.clone();
         let result = tokio::select! {
             result = self.front.relay.run(call, tool, &told) => result,
--- a/src/transport/hub/message.rs
+++ b/src/transport/hub/message.rs
@@ -42,7 +42,7 @@
 /// A stream ended before it was whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the stream broke")]
-pub struct Broken;
+pub struct IncompleteStream;
 
 /// A part of an answer. A channel that closes before [`Part::End`] is an answer that broke off: whatever
 /// drops a call, its client can't take the rest for whole.
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 pub struct Body {
     /// Its content type.
-    pub kind: Option<HeaderValue>,
+    pub content_type: Option<HeaderValue>,
     /// Its parts.
     pub parts: mpsc::Receiver<Part>,
 }
@@ -69,7 +69,7 @@
     /// A server's answer.
     Stream(Body),
     /// Another request with this id is open: passed on, the two would be taken for one.
-    IdIsOpen,
+    IdInUse,
     /// Refused; trying again is harmless, after this long.
     Refused(Option<Micros>),
     /// Failed.
@@ -86,7 +86,7 @@
     /// A request has come in.
     Request(Box<Admission>, Arc<Payload>, oneshot::Sender<Reply>),
     /// The first event of an answer is there.
-    Head {
+    AnswerStarted {
         /// The request.
         request: RequestId,
         /// The attempt.
@@ -99,23 +99,23 @@
     /// Who is a member of a pool from now on.
     List(PoolId, Arc<Generation>),
     /// A message for the server whose answer a request has, beside that answer.
-    HandBack(RequestId, Arc<Payload>),
+    PostToOwner(RequestId, Arc<Payload>),
     /// Asks for the counters.
-    Count(oneshot::Sender<Counted>),
+    GetCounters(oneshot::Sender<Counters>),
 }
 
 /// What has been counted since the start, over all pools.
 #[derive(Clone, Debug, Default)]
-pub struct Counted {
+pub struct Counters {
     /// All together.
     pub totals: Totals,
     /// By the class's name.
     pub handled: Vec<(String, Handled)>,
 }
 
-impl Counted {
+impl Counters {
     /// The figures that operators ask for, under the names that they use.
-    pub fn service(&self) -> Vec<Figure> {
+    pub fn service_metrics(&self) -> Vec<Figure> {
         let mut figures = Vec::new();
         for (class, Handled { served, refused, failed }) in &self.handled {
             let ends = [("passed", served), ("dropped", refused), ("bad_gateway", failed)];
@@ -138,7 +138,7 @@
     }
 
     /// All figures: the program's own, then those.
-    pub fn figures(&self) -> Vec<Figure> {
+    pub fn all_metrics(&self) -> Vec<Figure> {
         let Totals { taken, sent, served, refused, failed, broken, gone, probes, open, .. } = self.totals;
         let counters = [
             ("taken", taken),
@@ -151,7 +151,7 @@
             ("probes", probes),
         ];
         let counters = counters.map(|(name, count)| Figure::counter(name, count));
-        counters.into_iter().chain([Figure::gauge("open", open)]).chain(self.service()).collect()
+        counters.into_iter().chain([Figure::gauge("open", open)]).chain(self.service_metrics()).collect()
     }
 }
 
@@ -164,15 +164,15 @@
 }
 
 /// A request that is open; dropping it tells that its client has left.
-pub struct Ticket {
+pub struct RequestHandle {
     id: RequestId,
     hub: Hub,
 }
 
-impl Drop for Ticket {
+impl Drop for RequestHandle {
     fn drop(&mut self) {
         // After the last part of an answer this tells nothing new, and is passed over.
-        self.hub.tell(Message::Input(Input::Gone(self.id)));
+        self.hub.send_detached(Message::Input(Input::Gone(self.id)));
     }
 }
 
@@ -194,12 +194,12 @@
     }
 
     /// Hands a request in and waits for its answer; the ticket is kept until the answer has been passed on.
-    pub async fn submit(&self, mut admission: Admission, payload: Payload) -> (Reply, Ticket) {
+    pub async fn submit(&self, mut admission: Admission, payload: Payload) -> (Reply, RequestHandle) {
         let number = self.ids.fetch_add(1, Ordering::Relaxed);
         let mut id = [b'0'; 36];
         id.iter_mut().rev().zip(format!("{number}").bytes().rev()).for_each(|(to, digit)| *to = digit);
         admission.request.id = RequestId(id);
-        let ticket = Ticket { id: admission.request.id, hub: self.clone() };
+        let ticket = RequestHandle { id: admission.request.id, hub: self.clone() };
         let (reply, answer) = oneshot::channel();
         self.send(Message::Request(Box::new(admission), Arc::new(payload), reply)).await;
         let lost = Reply::Failed { may_have_run: true, overdue: false };
@@ -207,19 +207,19 @@
     }
 
     /// Sends a message to the server whose answer is being passed on; nothing if that has ended.
-    pub async fn hand_back(&self, ticket: &Ticket, payload: Payload) {
-        self.send(Message::HandBack(ticket.id, Arc::new(payload))).await;
+    pub async fn post_to_owner(&self, ticket: &RequestHandle, payload: Payload) {
+        self.send(Message::PostToOwner(ticket.id, Arc::new(payload))).await;
     }
 
     /// What has been counted.
-    pub async fn counted(&self) -> Counted {
+    pub async fn counters(&self) -> Counters {
         let (sender, counted) = oneshot::channel();
-        self.send(Message::Count(sender)).await;
+        self.send(Message::GetCounters(sender)).await;
         counted.await.unwrap_or_default()
     }
 
     /// Tells the module's actor something from where nothing can be waited for.
-    pub fn tell(&self, message: Message) {
+    pub fn send_detached(&self, message: Message) {
         if let Err(mpsc::error::TrySendError::Full(message)) = self.inbox.try_send(message) {
             let hub = self.clone();
             tokio::spawn(async move { hub.send(message).await });
--- a/src/transport/hub/mod.rs
+++ b/src/transport/hub/mod.rs
@@ -9,10 +9,10 @@
 use bytes::Bytes;
 use tokio::sync::{mpsc, oneshot};
 
-use self::message::{Body, Counted, Hub, Message, Payload, Reply};
+use self::message::{Body, Counters, Hub, Message, Payload, Reply};
 use super::budget::Budget;
 use super::clock::{self, Clock};
-use super::peer::{self, Attempt, Common, ToPeer};
+use super::peer::{self, Attempt, PeerContext, PeerMessage};
 use crate::interface::*;
 use crate::membership::Generation;
 use crate::routing::{Core, Handled, Input, Output, PoolId};
@@ -27,12 +27,12 @@
     reply: Option<oneshot::Sender<Reply>>,
     heads: Vec<(u32, Body)>,
     /// Where its attempts went, in their order. A peer that the list has dropped is still there for them.
-    sent: Vec<(u32, mpsc::Sender<ToPeer>)>,
-    owner: Option<mpsc::Sender<ToPeer>>,
+    sent: Vec<(u32, mpsc::Sender<PeerMessage>)>,
+    owner: Option<mpsc::Sender<PeerMessage>>,
 }
 
 impl Held {
-    fn at(&self, attempt: u32) -> Option<mpsc::Sender<ToPeer>> {
+    fn at(&self, attempt: u32) -> Option<mpsc::Sender<PeerMessage>> {
         self.sent.iter().find(|(number, _)| *number == attempt).map(|(_, peer)| peer.clone())
     }
 }
@@ -41,18 +41,18 @@
     name: Arc<str>,
     address: Arc<str>,
     /// The way to its actor, once that was needed.
-    inbox: Option<mpsc::Sender<ToPeer>>,
+    inbox: Option<mpsc::Sender<PeerMessage>>,
 }
 
 struct Pool {
-    common: Common,
+    common: PeerContext,
     /// The names of its classes.
     classes: Vec<String>,
     peers: HashMap<ServerId, PeerAt>,
 }
 
 impl Pool {
-    fn peer(&mut self, server: ServerId) -> Option<mpsc::Sender<ToPeer>> {
+    fn peer(&mut self, server: ServerId) -> Option<mpsc::Sender<PeerMessage>> {
         let peer = self.peers.get_mut(&server)?;
         let start = || peer::start(self.common.clone(), server, peer.address.to_string());
         Some(peer.inbox.get_or_insert_with(start).clone())
@@ -78,7 +78,7 @@
 
 impl Actor {
     /// Adds what the peers of the next pool share, in the order of the core's pools.
-    pub fn add_pool(&mut self, common: Common, classes: Vec<String>) {
+    pub fn add_pool(&mut self, common: PeerContext, classes: Vec<String>) {
         self.pools.push(Pool { common, classes, peers: HashMap::new() });
     }
 
@@ -107,7 +107,7 @@
     fn take(&mut self, now: Micros, message: Message, out: &mut Vec<Output>) {
         match message {
             Message::Request(_, payload, reply) if self.ids.contains(&payload.id) => {
-                let _ = reply.send(Reply::IdIsOpen);
+                let _ = reply.send(Reply::IdInUse);
             }
             // Its client has gone while it stood in the mailbox: it is as if it had never come.
             Message::Request(_, _, reply) if reply.is_closed() => {}
@@ -118,7 +118,7 @@
                 self.held.insert(admission.request.id, held);
                 self.core.handle(now, Input::Request(*admission), out);
             }
-            Message::Head { request, attempt, body } => {
+            Message::AnswerStarted { request, attempt, body } => {
                 if let Some(held) = self.held.get_mut(&request) {
                     held.heads.push((attempt, body));
                 }
@@ -131,19 +131,19 @@
                 let update = ListUpdate { scope: ListScope::Full, entries };
                 self.core.handle(now, Input::List(pool, generation.number, update), out);
             }
-            Message::HandBack(request, payload) => {
+            Message::PostToOwner(request, payload) => {
                 if let Some(owner) = self.held.get(&request).and_then(|held| held.owner.as_ref()) {
                     // With a full mailbox the server would not get it in time either.
-                    let _ = owner.try_send(ToPeer::Post(payload));
+                    let _ = owner.try_send(PeerMessage::Post(payload));
                 }
             }
-            Message::Count(sender) => {
+            Message::GetCounters(sender) => {
                 let _ = sender.send(self.counted(now));
             }
         }
     }
 
-    fn counted(&self, now: Micros) -> Counted {
+    fn counted(&self, now: Micros) -> Counters {
         let mut handled: Vec<(String, Handled)> = Vec::new();
         for pool in &self.pools {
             // Two pools may know a class by the same name.
@@ -154,7 +154,7 @@
                 }
             }
         }
-        Counted { totals: self.core.totals(now), handled }
+        Counters { totals: self.core.totals(now), handled }
     }
 
     /// Leaves the actors of peers that are gone to end by themselves, and tells those that have moved.
@@ -172,7 +172,7 @@
             if peer.address != member.address {
                 peer.address = member.address.clone();
                 if let Some(inbox) = &peer.inbox {
-                    let _ = inbox.try_send(ToPeer::Moved(member.address.to_string()));
+                    let _ = inbox.try_send(PeerMessage::Moved(member.address.to_string()));
                 }
             }
             pool.peers.insert(id, peer);
@@ -180,7 +180,7 @@
     }
 
     /// The way to a peer's actor, which starts when it is first needed: of a large fleet most are not for long.
-    fn peer(&mut self, pool: PoolId, server: ServerId) -> Option<mpsc::Sender<ToPeer>> {
+    fn peer(&mut self, pool: PoolId, server: ServerId) -> Option<mpsc::Sender<PeerMessage>> {
         self.pools.get_mut(usize::from(pool.0))?.peer(server)
     }
 
@@ -200,7 +200,7 @@
                 match peer {
                     Some(peer) => {
                         held.sent.push((attempt, peer.clone()));
-                        tell(&peer, ToPeer::Send(send)).await;
+                        tell(&peer, PeerMessage::Send(send)).await;
                     }
                     None => {
                         let (outcome, kept_tokens, report) = (Outcome::ConnectFailed, 0, None);
@@ -212,7 +212,7 @@
                 let Some(held) = self.held.get_mut(&request) else { return };
                 held.heads.retain(|(number, _)| *number != attempt);
                 if let Some(peer) = held.at(attempt) {
-                    tell(&peer, ToPeer::Cancel(request, attempt, reason)).await;
+                    tell(&peer, PeerMessage::Cancel(request, attempt, reason)).await;
                 }
             }
             Output::Relay(request, attempt) => {
@@ -232,7 +232,7 @@
                 let Some(held) = self.held.get(&request) else { return };
                 let id = held.payload.id.clone();
                 match self.peer(pool, server) {
-                    Some(peer) => tell(&peer, ToPeer::Release(request, id, connection)).await,
+                    Some(peer) => tell(&peer, PeerMessage::Release(request, id, connection)).await,
                     None => self.again([Input::Released(request, false)]),
                 }
             }
@@ -240,12 +240,12 @@
                 let Some(held) = self.held.get(&request) else { return };
                 let id = held.payload.id.clone();
                 if let Some(peer) = self.peer(pool, server) {
-                    tell(&peer, ToPeer::Hold(request, id)).await;
+                    tell(&peer, PeerMessage::Hold(request, id)).await;
                 }
             }
             Output::Probe(pool, server) => {
                 if let Some(peer) = self.peer(pool, server) {
-                    tell(&peer, ToPeer::Probe).await;
+                    tell(&peer, PeerMessage::Probe).await;
                 } else {
                     let (outcome, took, report) = (Outcome::ConnectFailed, 0, None);
                     self.again([Input::Probed { pool, server, outcome, took, report }]);
@@ -253,7 +253,7 @@
             }
             Output::CloseIdle(pool, server) => {
                 if let Some(peer) = self.peer(pool, server) {
-                    tell(&peer, ToPeer::CloseIdle).await;
+                    tell(&peer, PeerMessage::CloseIdle).await;
                 }
             }
             // Only expectations observe.
@@ -313,6 +313,6 @@
 
 /// A peer's actor never waits for the module's, so waiting for room in its mailbox can't lock up; and it runs
 /// for as long as there is a way to it.
-async fn tell(peer: &mpsc::Sender<ToPeer>, message: ToPeer) {
+async fn tell(peer: &mpsc::Sender<PeerMessage>, message: PeerMessage) {
     let _ = peer.send(message).await;
 }
--- a/src/transport/inherited.rs
+++ b/src/transport/inherited.rs
@@ -24,7 +24,7 @@
     NotListening(RawFd),
     /// The system fails it.
     #[error("descriptor {0} can't be used: {1}")]
-    System(RawFd, io::Error),
+    Io(RawFd, io::Error),
 }
 
 /// Takes an open descriptor over; none if it is not open.
@@ -42,7 +42,7 @@
 /// # Errors
 ///
 /// If that is no descriptor, not open, no socket, no stream or not listening. What is open there is closed then.
-pub fn inherited(number: &str) -> Result<TcpListener, InheritedError> {
+pub fn inherited_listener(number: &str) -> Result<TcpListener, InheritedError> {
     let fd = number.parse().ok().filter(|fd| *fd >= LEAST);
     let fd: RawFd = fd.ok_or_else(|| InheritedError::Number(number.to_string()))?;
     let owned = own(fd).ok_or(InheritedError::Closed(fd))?;
@@ -54,6 +54,6 @@
     }
     let listener = TcpListener::from(owned);
     // What the other processes see of the socket does not change by it: each waits for its own readiness.
-    listener.set_nonblocking(true).map_err(|error| InheritedError::System(fd, error))?;
+    listener.set_nonblocking(true).map_err(|error| InheritedError::Io(fd, error))?;
     Ok(listener)
 }
--- a/src/transport/list/discovery.rs
+++ b/src/transport/list/discovery.rs
@@ -6,12 +6,12 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, timeout_at};
 
-use super::{ListHandle, News};
+use super::{ListHandle, ListMessage};
 use crate::interface::{ListScope, Micros};
 use crate::protocol::platform::List;
 use crate::recovery::{ListCall, ListEnded, ListInput, ListPhase, Pacing};
 use crate::transport::clock::Clock;
-use crate::transport::peer::connector::{PeerClient, Tracked};
+use crate::transport::peer::connector::{PeerClient, TrackedBody};
 
 /// The largest list.
 const MOST_LIST: usize = 4 * 1024 * 1024;
@@ -108,7 +108,7 @@
                 );
                 if taken {
                     let scope = if list.complete { ListScope::Full } else { ListScope::Changes };
-                    self.list.send(News::Discovery(scope, list)).await;
+                    self.list.send(ListMessage::Discovery(scope, list)).await;
                 }
             }
             Err(error) => {
@@ -125,7 +125,7 @@
             ListCall::Check { from } => held(from, 0),
             ListCall::Watch { from, hold } => held(from, hold),
         };
-        let mut request = Request::new(Tracked::empty());
+        let mut request = Request::new(TrackedBody::empty());
         *request.uri_mut() =
             format!("http://{address}/discovery/hosts{query}").parse().map_err(|_| ListError::Address)?;
         let response = self.client.request(request).await?;
--- a/src/transport/list/files.rs
+++ b/src/transport/list/files.rs
@@ -13,7 +13,7 @@
 
 use notify::{RecommendedWatcher, RecursiveMode, Watcher as _};
 
-use super::{ListHandle, News};
+use super::{ListHandle, ListMessage};
 use crate::documents::operator::Watched;
 use crate::documents::read::Source;
 use crate::documents::seal;
@@ -160,7 +160,7 @@
             let scan = self.directory.scan();
             if scan != last {
                 last = scan.clone();
-                if !list.send_from_thread(News::Scan(scan)) {
+                if !list.send_from_thread(ListMessage::Scan(scan)) {
                     return;
                 }
             }
--- a/src/transport/list/keep.rs
+++ b/src/transport/list/keep.rs
@@ -21,7 +21,7 @@
 pub enum KeepError {
     /// The system fails.
     #[error("{}: {error}", path.display())]
-    System {
+    Io {
         /// The file.
         path: PathBuf,
         /// How.
@@ -29,7 +29,7 @@
     },
     /// It is not trusted.
     #[error("{}: {error}", path.display())]
-    Kept {
+    Invalid {
         /// The file.
         path: PathBuf,
         /// Why.
@@ -43,7 +43,7 @@
 }
 
 /// What there is to keep of a generation.
-pub fn kept(generation: &Generation) -> Kept {
+pub fn snapshot(generation: &Generation) -> Kept {
     let files = generation.files.values().map(|file| (file.name.to_string(), file.text.to_string()));
     Kept::new(generation.number, unix_s(), files.collect())
 }
@@ -51,7 +51,7 @@
 /// Keeps a set.
 pub fn save(state: &Path, kept: &Kept) -> Result<(), KeepError> {
     let (path, beside) = (state.join(FILE), state.join(format!("{FILE}.new")));
-    let text = kept.write().map_err(|error| KeepError::Kept { path: path.clone(), error })?;
+    let text = kept.write().map_err(|error| KeepError::Invalid { path: path.clone(), error })?;
     let write = || -> io::Result<()> {
         fs::create_dir_all(state)?;
         let mut file = File::create(&beside)?;
@@ -61,7 +61,7 @@
         // The rename itself is on the disk only with its directory.
         File::open(state)?.sync_all()
     };
-    write().map_err(|error| KeepError::System { path: path.clone(), error })
+    write().map_err(|error| KeepError::Io { path: path.clone(), error })
 }
 
 /// The set that was kept; none if there is none.
@@ -70,8 +70,8 @@
     let mut text = String::new();
     let read = File::open(&path).and_then(|file| file.take(MOST_BYTES).read_to_string(&mut text));
     match read {
-        Ok(_) => Kept::read(&text).map(Some).map_err(|error| KeepError::Kept { path, error }),
+        Ok(_) => Kept::read(&text).map(Some).map_err(|error| KeepError::Invalid { path, error }),
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
-        Err(error) => Err(KeepError::System { path, error }),
+        Err(error) => Err(KeepError::Io { path, error }),
     }
 }
--- a/src/transport/list/mod.rs
+++ b/src/transport/list/mod.rs
@@ -26,7 +26,7 @@
 const MAILBOX: usize = 16;
 
 /// What a list is told.
-pub enum News {
+pub enum ListMessage {
     /// Discovery has answered.
     Discovery(ListScope, List),
     /// The directory of files was read.
@@ -35,24 +35,24 @@
 
 /// The way to a list's actor.
 #[derive(Clone)]
-pub struct ListHandle(mpsc::Sender<News>);
+pub struct ListHandle(mpsc::Sender<ListMessage>);
 
 impl ListHandle {
     /// Tells the list something.
-    pub async fn send(&self, news: News) {
+    pub async fn send(&self, news: ListMessage) {
         // It is gone only when the program ends.
         let _ = self.0.send(news).await;
     }
 
     /// The same from a thread of its own; false when nobody listens any more.
-    pub fn send_from_thread(&self, news: News) -> bool {
+    pub fn send_from_thread(&self, news: ListMessage) -> bool {
         self.0.blocking_send(news).is_ok()
     }
 }
 
 /// Tries a set of files: what speaks against it, or nothing. It takes its time, and ends early once the second
 /// argument says no; what it says then does not count.
-pub type Try = Arc<dyn Fn(&Files, &dyn Fn() -> bool) -> Vec<Refusal> + Send + Sync>;
+pub type TrialRunner = Arc<dyn Fn(&Files, &dyn Fn() -> bool) -> Vec<Refusal> + Send + Sync>;
 
 /// A trial that runs on a thread of its own.
 struct Running {
@@ -69,12 +69,12 @@
     names: Names,
     clock: Clock,
     hub: Hub,
-    inbox: mpsc::Receiver<News>,
+    inbox: mpsc::Receiver<ListMessage>,
     state: Option<PathBuf>,
     /// News that can make somebody a member has come.
     heard: watch::Sender<bool>,
     by_files: bool,
-    guard: Option<Try>,
+    guard: Option<TrialRunner>,
     running: Option<Running>,
 }
 
@@ -95,7 +95,7 @@
     /// Files are set up, so that discovery's word alone makes nobody a member.
     pub by_files: bool,
     /// How sets are tried, where the membership's rules want that.
-    pub guard: Option<Try>,
+    pub guard: Option<TrialRunner>,
 }
 
 impl ListActor {
@@ -112,33 +112,33 @@
     }
 
     /// Whether a set of files is in service.
-    pub fn has_set(&self) -> bool {
+    pub fn has_accepted_set(&self) -> bool {
         self.membership.as_ref().is_some_and(|membership| !membership.accepted().is_empty())
     }
 
     /// What of the files is refused at present.
-    pub fn refused(&self) -> &[Refusal] {
+    pub fn refusals(&self) -> &[Refusal] {
         self.membership.as_ref().map_or(&[], Membership::refused)
     }
 
     /// Hands on the list as it was known at the start, perhaps old.
-    pub async fn known(&mut self, list: &List) {
+    pub async fn feed_known_list(&mut self, list: &List) {
         let listed = self.listed(list);
         self.feed(Input::Discovery(ListScope::Cached, listed)).await;
     }
 
     /// The same for servers that a document lists.
-    pub async fn known_servers(&mut self, listed: Vec<Listed>) {
+    pub async fn feed_known_servers(&mut self, listed: Vec<Listed>) {
         self.feed(Input::Discovery(ListScope::Cached, listed)).await;
     }
 
     /// Begins from the set that was kept.
-    pub async fn saved(&mut self, generation: u64, files: Vec<SetFile>) {
+    pub async fn feed_saved_set(&mut self, generation: u64, files: Vec<SetFile>) {
         self.feed(Input::Saved(generation, files.into_iter().map(Arc::new).collect())).await;
     }
 
     /// Takes a first scan, and waits for the trial of its set where there is one.
-    pub async fn scanned(&mut self, scan: Scan) {
+    pub async fn feed_first_scan(&mut self, scan: Scan) {
         self.feed(Input::Scan(scan)).await;
         while self.running.is_some() {
             let due = self.due();
@@ -180,7 +180,7 @@
                 () = crate::transport::clock::sleep_until(due) => None,
             };
             match news {
-                Some(News::Discovery(scope, list)) => {
+                Some(ListMessage::Discovery(scope, list)) => {
                     if list.complete || !list.members.is_empty() {
                         let listed = self.listed(&list);
                         self.feed(Input::Discovery(scope, listed)).await;
@@ -189,7 +189,7 @@
                         self.heard.send_replace(true);
                     }
                 }
-                Some(News::Scan(scan)) => self.feed(Input::Scan(scan)).await,
+                Some(ListMessage::Scan(scan)) => self.feed(Input::Scan(scan)).await,
                 None => {}
             }
             self.feed(Input::Tick).await;
@@ -243,13 +243,13 @@
                         "these take work"
                     );
                     self.hub.send(Message::List(self.pool, generation)).await;
-                    if self.by_files && self.has_set() {
+                    if self.by_files && self.has_accepted_set() {
                         self.heard.send_replace(true);
                     }
                 }
                 Output::Save(generation) => {
                     if let Some(state) = self.state.clone() {
-                        let kept = keep::kept(&generation);
+                        let kept = keep::snapshot(&generation);
                         // Beside the runtime's thread: the disk may be slow, and routing does not wait for it.
                         let saved = tokio::task::spawn_blocking(move || keep::save(&state, &kept)).await;
                         match saved {
--- a/src/transport/peer/connector.rs
+++ b/src/transport/peer/connector.rs
@@ -22,7 +22,7 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-use super::idle::{ConnectionBudget, Idleness};
+use super::idle::{ConnectionBudget, IdleTracker};
 use crate::protocol::settings::Links;
 use crate::routing::{ConnectionChoice, Evidence};
 
@@ -41,10 +41,10 @@
 const HEAD_WITHIN: Duration = Duration::from_millis(400);
 /// After an answer a connection rests for this before it takes the next request: a second answer may come some
 /// milliseconds late, and would be taken for that to the next one.
-pub const REST: Duration = Duration::from_millis(10);
+pub const REUSE_DELAY: Duration = Duration::from_millis(10);
 
 /// The client for peers. It never sends anything again by itself.
-pub type PeerClient = Client<Connector, Tracked>;
+pub type PeerClient = Client<Connector, TrackedBody>;
 
 /// Makes a client that keeps connections.
 pub fn client(links: Links, budget: ConnectionBudget) -> PeerClient {
@@ -65,7 +65,7 @@
     }
 
     /// The client whose connections are of this choice.
-    pub fn of(&self, connection: ConnectionChoice) -> &PeerClient {
+    pub fn for_connection(&self, connection: ConnectionChoice) -> &PeerClient {
         match connection {
             ConnectionChoice::Any => &self.keeping,
             ConnectionChoice::New => &self.dialling,
@@ -92,9 +92,9 @@
 }
 
 impl tower::Service<Uri> for Connector {
-    type Response = Link;
+    type Response = PeerConnection;
     type Error = io::Error;
-    type Future = Pin<Box<dyn Future<Output = io::Result<Link>> + Send>>;
+    type Future = Pin<Box<dyn Future<Output = io::Result<PeerConnection>> + Send>>;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
@@ -109,11 +109,11 @@
                 dial(authority.as_str()).await.map(|stream| (permit, stream))
             };
             let (permit, stream) = tokio::time::timeout(within, connect).await??;
-            Ok(Link {
+            Ok(PeerConnection {
                 io: TokioIo::new(stream),
                 turn: Turn::Asking,
                 last: [0; 4],
-                progress: Arc::new(Progress::new(budget.idleness())),
+                progress: Arc::new(Progress::new(budget.idle_tracker())),
                 _permit: permit,
             })
         })
@@ -140,23 +140,23 @@
 }
 
 /// What is called when the last byte of a request has been written.
-pub type Told = Box<dyn FnOnce() + Send>;
+pub type OnWritten = Box<dyn FnOnce() + Send>;
 
 /// How far the request that is on a connection has got.
 struct Progress {
     /// Who is told, once, that all of it has been written; there from when its last byte is in the connection's buffer.
-    tell: Mutex<Option<Told>>,
+    tell: Mutex<Option<OnWritten>>,
     /// The last bytes that came do not end a head.
     amid: AtomicBool,
     /// Which request has the connection, as it was handed over last; 0 before the first.
     carries: AtomicU64,
     /// Which one has been given up: nothing more of it may come to the server.
     given_up: AtomicU64,
-    idleness: Idleness,
+    idleness: IdleTracker,
 }
 
 impl Progress {
-    fn new(idleness: Idleness) -> Self {
+    fn new(idleness: IdleTracker) -> Self {
         Progress {
             tell: Mutex::default(),
             amid: AtomicBool::default(),
@@ -166,7 +166,7 @@
         }
     }
 
-    fn told(&self) -> MutexGuard<'_, Option<Told>> {
+    fn told(&self) -> MutexGuard<'_, Option<OnWritten>> {
         self.tell.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -195,7 +195,7 @@
 }
 
 /// A connection to a peer.
-pub struct Link {
+pub struct PeerConnection {
     io: TokioIo<TcpStream>,
     turn: Turn,
     last: [u8; 4],
@@ -203,13 +203,13 @@
     _permit: OwnedSemaphorePermit,
 }
 
-impl Connection for Link {
+impl Connection for PeerConnection {
     fn connected(&self) -> Connected {
         Connected::new().extra(self.progress.clone())
     }
 }
 
-impl Link {
+impl PeerConnection {
     /// Ready once a request may be written: after the rest of the answer before it, if nothing has come since.
     fn poll_turn(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         // hyper would write what it has buffered before it closes, also long after, when the other side reads again.
@@ -219,7 +219,7 @@
         match &mut self.turn {
             Turn::Asking | Turn::Asked => {}
             Turn::Answered(at) => {
-                let mut rest = Box::pin(sleep_until(*at + REST));
+                let mut rest = Box::pin(sleep_until(*at + REUSE_DELAY));
                 let rested = rest.as_mut().poll(cx);
                 self.turn = Turn::Resting(rest);
                 ready!(rested);
@@ -250,14 +250,14 @@
     io::Error::new(io::ErrorKind::ConnectionAborted, "an answer to no request")
 }
 
-impl Read for Link {
+impl Read for PeerConnection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let link = &mut *self;
-        if link.progress.idleness.has_to_close(cx) {
+        if link.progress.idleness.must_close(cx) {
             return Poll::Ready(Ok(()));
         }
         let mut space = [0; READ];
@@ -281,7 +281,7 @@
     }
 }
 
-impl Write for Link {
+impl Write for PeerConnection {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         ready!(self.poll_turn(cx))?;
         Pin::new(&mut self.io).poll_write(cx, buf)
@@ -320,11 +320,11 @@
     }
 }
 
-impl Drop for Link {
+impl Drop for PeerConnection {
     /// The system would go on sending what a silent server has not acknowledged, also once a cut network is back, and
     /// the request would run then. A reset drops it.
     fn drop(&mut self) {
-        self.progress.idleness.end();
+        self.progress.idleness.mark_busy();
         if self.progress.given_up() {
             let _ = SockRef::from(self.io.inner()).set_linger(Some(Duration::ZERO));
         }
@@ -332,35 +332,39 @@
 }
 
 /// A body that marks on its connection when it has been handed over.
-pub struct Tracked {
+pub struct TrackedBody {
     body: Option<Bytes>,
     link: Option<CaptureConnection>,
     serial: u64,
     /// Who is to be told that it has been written, until it is handed over.
-    tell: Mutex<Option<Told>>,
+    tell: Mutex<Option<OnWritten>>,
 }
 
 /// The serial number of the next request.
 static SERIAL: AtomicU64 = AtomicU64::new(1);
 
-impl Tracked {
+impl TrackedBody {
     /// An empty body, whose fate does not matter.
     pub fn empty() -> Self {
-        Tracked { body: None, link: None, serial: 0, tell: Mutex::default() }
+        TrackedBody { body: None, link: None, serial: 0, tell: Mutex::default() }
     }
 
     /// Gives a request its body, what is called when the last byte of that is written, and what will tell its fate.
-    pub fn attach(mut head: http::Request<()>, body: Bytes, tell: Told) -> (http::Request<Tracked>, Fate) {
+    pub fn attach(
+        mut head: http::Request<()>,
+        body: Bytes,
+        tell: OnWritten,
+    ) -> (http::Request<TrackedBody>, RequestTracker) {
         let (link, written) = (capture_connection(&mut head), Arc::<AtomicBool>::default());
         let mark = written.clone();
-        let tell: Told = Box::new(move || {
+        let tell: OnWritten = Box::new(move || {
             mark.store(true, Ordering::Relaxed);
             tell();
         });
         let serial = SERIAL.fetch_add(1, Ordering::Relaxed);
         let body =
-            Tracked { body: Some(body), link: Some(link.clone()), serial, tell: Mutex::new(Some(tell)) };
-        (head.map(|()| body), Fate { link, serial, written })
+            TrackedBody { body: Some(body), link: Some(link.clone()), serial, tell: Mutex::new(Some(tell)) };
+        (head.map(|()| body), RequestTracker { link, serial, written })
     }
 
     /// From now on all of the request stands in the connection's buffer.
@@ -368,14 +372,14 @@
         let Some(progress) = self.link.as_ref().and_then(progress) else { return };
         if let Some(tell) = self.tell.lock().unwrap_or_else(PoisonError::into_inner).take() {
             progress.amid.store(false, Ordering::Relaxed);
-            progress.idleness.end();
+            progress.idleness.mark_busy();
             progress.carries.store(self.serial, Ordering::Relaxed);
             *progress.told() = Some(tell);
         }
     }
 }
 
-impl Body for Tracked {
+impl Body for TrackedBody {
     type Data = Bytes;
     type Error = std::convert::Infallible;
 
@@ -408,23 +412,23 @@
 }
 
 /// Tells how far a request got once it has failed. Whoever drops it gives up what has not been written by then.
-pub struct Fate {
+pub struct RequestTracker {
     link: CaptureConnection,
     serial: u64,
     written: Arc<AtomicBool>,
 }
 
-impl Drop for Fate {
+impl Drop for RequestTracker {
     fn drop(&mut self) {
         if !self.written.load(Ordering::Relaxed) {
             self.give_up();
         } else if let Some(progress) = progress(&self.link).filter(|progress| progress.carries(self.serial)) {
-            progress.idleness.begin();
+            progress.idleness.mark_idle();
         }
     }
 }
 
-impl Fate {
+impl RequestTracker {
     /// How far the request is known to have got on its way. What its server has said of it is not known here.
     pub fn evidence(&self) -> Evidence {
         match self.link.connection_metadata().is_some() {
@@ -448,7 +452,7 @@
     }
 
     /// Ends when a head has begun and does not go on to its end. Answers ahead (1xx) are heads of their own.
-    pub async fn endless_head(&self) {
+    pub async fn stalled_head(&self) {
         let amid = || progress(&self.link).is_some_and(|progress| progress.amid.load(Ordering::Relaxed));
         loop {
             tokio::time::sleep(HEAD_WITHIN / 2).await;
@@ -463,7 +467,7 @@
 }
 
 /// Whether what came can't be read, rather than broke off: that says nothing of the server's health.
-pub fn unreadable(error: &(dyn std::error::Error + 'static)) -> bool {
+pub fn is_unreadable(error: &(dyn std::error::Error + 'static)) -> bool {
     std::iter::successors(Some(error), |error| error.source()).any(|error| {
         let http = error.downcast_ref::<hyper::Error>().is_some_and(hyper::Error::is_parse);
         let bytes = error.downcast_ref::<io::Error>().map(io::Error::kind);
--- a/src/transport/peer/idle.rs
+++ b/src/transport/peer/idle.rs
@@ -19,11 +19,11 @@
 impl ConnectionBudget {
     /// A budget of so many connections.
     pub fn new(connections: usize) -> Self {
-        Self::of(Arc::new(Semaphore::new(connections)))
+        Self::with_permits(Arc::new(Semaphore::new(connections)))
     }
 
     /// A budget that shares its permits with others.
-    pub fn of(permits: Arc<Semaphore>) -> Self {
+    pub fn with_permits(permits: Arc<Semaphore>) -> Self {
         ConnectionBudget { permits, idle: Arc::default() }
     }
 
@@ -38,8 +38,8 @@
     }
 
     /// How a new connection tells that it is idle.
-    pub fn idleness(&self) -> Idleness {
-        Idleness { connections: self.idle.clone(), since: AtomicU64::new(BUSY), close: Arc::default() }
+    pub fn idle_tracker(&self) -> IdleTracker {
+        IdleTracker { connections: self.idle.clone(), since: AtomicU64::new(BUSY), close: Arc::default() }
     }
 }
 
@@ -77,16 +77,16 @@
 
 /// Whether one connection is idle.
 #[derive(Debug)]
-pub struct Idleness {
+pub struct IdleTracker {
     connections: Arc<IdleConnections>,
     /// Its place among those that are idle.
     since: AtomicU64,
     close: Arc<CloseSignal>,
 }
 
-impl Idleness {
+impl IdleTracker {
     /// Nothing is out on the connection from now on.
-    pub fn begin(&self) {
+    pub fn mark_idle(&self) {
         let place = self.connections.last.fetch_add(1, Ordering::Relaxed) + 1;
         let mut idle = self.connections.idle();
         idle.remove(&self.since.swap(place, Ordering::Relaxed));
@@ -94,7 +94,7 @@
     }
 
     /// The connection is in use from now on, or gone.
-    pub fn end(&self) {
+    pub fn mark_busy(&self) {
         let place = self.since.swap(BUSY, Ordering::Relaxed);
         if place != BUSY {
             self.connections.idle().remove(&place);
@@ -102,14 +102,14 @@
     }
 
     /// Whether the connection has to close, as another needs its descriptor; if not, the task is woken once it has to.
-    pub fn has_to_close(&self, context: &Context<'_>) -> bool {
+    pub fn must_close(&self, context: &Context<'_>) -> bool {
         self.close.waker.register(context.waker());
         self.close.closes.load(Ordering::Relaxed)
     }
 }
 
-impl Drop for Idleness {
+impl Drop for IdleTracker {
     fn drop(&mut self) {
-        self.end();
+        self.mark_busy();
     }
 }
--- a/src/transport/peer/mod.rs
+++ b/src/transport/peer/mod.rs
@@ -18,7 +18,7 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-use self::connector::{Clients, Fate, Tracked, unreadable};
+use self::connector::{Clients, RequestTracker, TrackedBody, is_unreadable};
 use super::hub::message::{Body, Hub, Message, Part, Payload};
 use crate::interface::*;
 use crate::protocol::platform::{self, Spoilt, Tail};
@@ -42,7 +42,7 @@
 const RELEASE_WITHIN: Duration = Duration::from_millis(500);
 
 /// What a peer is asked to do.
-pub enum ToPeer {
+pub enum PeerMessage {
     /// Send an attempt.
     Send(Attempt),
     /// Close the connection of an attempt.
@@ -106,7 +106,7 @@
 
 /// What all peers of a pool share.
 #[derive(Clone)]
-pub struct Common {
+pub struct PeerContext {
     /// Whose servers they are.
     pub pool: PoolId,
     /// Where outcomes go.
@@ -122,7 +122,7 @@
 }
 
 /// Starts the actor of a peer.
-pub fn start(common: Common, server: ServerId, address: String) -> mpsc::Sender<ToPeer> {
+pub fn start(common: PeerContext, server: ServerId, address: String) -> mpsc::Sender<PeerMessage> {
     let (sender, inbox) = mpsc::channel(MAILBOX);
     tokio::spawn(run(Peer { common, server, address }, inbox));
     sender
@@ -130,12 +130,12 @@
 
 #[derive(Clone)]
 struct Peer {
-    common: Common,
+    common: PeerContext,
     server: ServerId,
     address: String,
 }
 
-async fn run(mut peer: Peer, mut inbox: mpsc::Receiver<ToPeer>) {
+async fn run(mut peer: Peer, mut inbox: mpsc::Receiver<PeerMessage>) {
     let mut calls = JoinSet::new();
     let mut cancels: HashMap<(RequestId, u32), oneshot::Sender<CancelReason>> = HashMap::new();
     loop {
@@ -150,7 +150,7 @@
         };
         let one = peer.clone();
         match message {
-            Some(ToPeer::Send(attempt)) => {
+            Some(PeerMessage::Send(attempt)) => {
                 let key = (attempt.request, attempt.number);
                 let (cancel, cancelled) = oneshot::channel();
                 cancels.insert(key, cancel);
@@ -159,25 +159,25 @@
                     Some(key)
                 });
             }
-            Some(ToPeer::Cancel(request, number, reason)) => {
+            Some(PeerMessage::Cancel(request, number, reason)) => {
                 // The call's end then reports; without an entry it has reported already.
                 if let Some(cancel) = cancels.remove(&(request, number)) {
                     let _ = cancel.send(reason);
                 }
             }
-            Some(ToPeer::Post(payload)) => {
+            Some(PeerMessage::Post(payload)) => {
                 calls.spawn(async move {
                     one.post(&payload).await;
                     None
                 });
             }
-            Some(ToPeer::Probe) => {
+            Some(PeerMessage::Probe) => {
                 calls.spawn(async move {
                     one.probe().await;
                     None
                 });
             }
-            Some(ToPeer::Release(request, id, connection)) => {
+            Some(PeerMessage::Release(request, id, connection)) => {
                 calls.spawn(async move {
                     let (began, call) = (Instant::now(), one.lease(Method::DELETE, &id, connection));
                     let status = tokio::time::timeout(RELEASE_WITHIN, call).await.ok().flatten();
@@ -197,7 +197,7 @@
                     None
                 });
             }
-            Some(ToPeer::Hold(request, id)) => {
+            Some(PeerMessage::Hold(request, id)) => {
                 calls.spawn(async move {
                     if let Some(held) =
                         one.lease(Method::POST, &id, ConnectionChoice::Any).await.and_then(place)
@@ -207,11 +207,11 @@
                     None
                 });
             }
-            Some(ToPeer::CloseIdle) => {
-                let Common { links, ref hub, .. } = peer.common;
+            Some(PeerMessage::CloseIdle) => {
+                let PeerContext { links, ref hub, .. } = peer.common;
                 peer.common.clients = Clients::new(links, &hub.budget().peers);
             }
-            Some(ToPeer::Moved(address)) => peer.address = address,
+            Some(PeerMessage::Moved(address)) => peer.address = address,
             // The list has dropped the peer: what is out ends first.
             None => break,
         }
@@ -306,24 +306,27 @@
     }
 
     /// The message of an attempt, and what will tell its fate; none if the server's address is no address.
-    fn message(&self, attempt: Attempt) -> Option<(Request<Tracked>, Fate)> {
+    fn message(&self, attempt: Attempt) -> Option<(Request<TrackedBody>, RequestTracker)> {
         let Attempt { request, number, payload, time_left, .. } = attempt;
         let mut head = payload.head();
         head.headers_mut().insert(platform::TIME_LEFT, (time_left / 1000).into());
         let head = self.addressed(head, &payload.path)?;
         let hub = self.common.hub.clone();
-        let written = Box::new(move || hub.tell(Message::Input(Input::Written(request, number))));
-        Some(Tracked::attach(head, payload.body.clone(), written))
+        let written = Box::new(move || hub.send_detached(Message::Input(Input::Written(request, number))));
+        Some(TrackedBody::attach(head, payload.body.clone(), written))
     }
 
     async fn call(
         &self,
-        message: Request<Tracked>,
-        fate: &Fate,
+        message: Request<TrackedBody>,
+        fate: &RequestTracker,
         (request, number, connection): (RequestId, u32, ConnectionChoice),
     ) -> End {
-        let answered =
-            select(self.common.clients.of(connection).request(message), Box::pin(fate.endless_head())).await;
+        let answered = select(
+            self.common.clients.for_connection(connection).request(message),
+            Box::pin(fate.stalled_head()),
+        )
+        .await;
         let response = match answered {
             Either::Right(_) => return End::of(Outcome::Error),
             Either::Left((answer, _)) => answer,
@@ -331,7 +334,7 @@
         let response = match response {
             Ok(response) => response,
             // It has run, and its server is as well as any.
-            Err(error) if unreadable(&error) => return End::of(Outcome::Error),
+            Err(error) if is_unreadable(&error) => return End::of(Outcome::Error),
             // Before its last byte is written a request can't have run; after that it may have.
             Err(error) if fate.may_have_run(&error) => return End::of(Outcome::Reset),
             Err(_) => return End::of(Outcome::ConnectFailed),
@@ -380,7 +383,7 @@
                     Ok(part) if !part.is_empty() => part,
                     _ => continue,
                 },
-                Some(Err(error)) if unreadable(&error) => return End::of(Outcome::Error),
+                Some(Err(error)) if is_unreadable(&error) => return End::of(Outcome::Error),
                 Some(Err(_)) => return End::of(Outcome::Reset),
                 None => break,
             };
@@ -414,8 +417,8 @@
                 due = Instant::now() + SILENT;
             }
             if let Some(parts) = receiver.take() {
-                let body = Body { kind: kind.clone(), parts };
-                self.common.hub.send(Message::Head { request, attempt: number, body }).await;
+                let body = Body { content_type: kind.clone(), parts };
+                self.common.hub.send(Message::AnswerStarted { request, attempt: number, body }).await;
             }
         }
         let Ok(rest) = tail.rest() else { return End::of(Outcome::Error) };
@@ -464,8 +467,9 @@
         let Some(head) = self.addressed(Request::new(()), self.common.dialect.probe()) else {
             return (Outcome::ConnectFailed, None);
         };
-        let (request, _fate) = Tracked::attach(head, Bytes::new(), Box::new(|| {}));
-        let response = match self.common.clients.of(ConnectionChoice::Any).request(request).await {
+        let (request, _fate) = TrackedBody::attach(head, Bytes::new(), Box::new(|| {}));
+        let response = match self.common.clients.for_connection(ConnectionChoice::Any).request(request).await
+        {
             Ok(response) => response,
             Err(error) if error.is_connect() => return (Outcome::ConnectFailed, None),
             Err(_) => return (Outcome::Reset, None),
@@ -484,10 +488,11 @@
 
     async fn post(&self, payload: &Payload) {
         let Some(head) = self.addressed(payload.head(), &payload.path) else { return };
-        let (message, _fate) = Tracked::attach(head, payload.body.clone(), Box::new(|| {}));
+        let (message, _fate) = TrackedBody::attach(head, payload.body.clone(), Box::new(|| {}));
         let within = Duration::from_micros(self.common.links.idle);
         let call = async {
-            let response = self.common.clients.of(ConnectionChoice::Any).request(message).await.ok()?;
+            let response =
+                self.common.clients.for_connection(ConnectionChoice::Any).request(message).await.ok()?;
             http_body_util::Limited::new(response.into_body(), MOST_REPLY).collect().await.ok()
         };
         if !matches!(tokio::time::timeout(within, call).await, Ok(Some(_))) {
@@ -503,8 +508,8 @@
         let mut head = self.addressed(Request::new(()), &format!("/kv/leases/{id}"))?;
         *head.method_mut() = method;
         // One that is given up must not let go later of what is held anew.
-        let (request, _fate) = Tracked::attach(head, Bytes::new(), Box::new(|| {}));
-        let response = self.common.clients.of(connection).request(request).await.ok()?;
+        let (request, _fate) = TrackedBody::attach(head, Bytes::new(), Box::new(|| {}));
+        let response = self.common.clients.for_connection(connection).request(request).await.ok()?;
         let status = response.status();
         // Reading the body to its end gives the connection back.
         let _ = http_body_util::Limited::new(response.into_body(), MOST_REPLY).collect().await;
--- a/src/transport/relay.rs
+++ b/src/transport/relay.rs
@@ -14,7 +14,7 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-use super::hub::message::{Body, Hub, Part, Payload, Reply, Ticket};
+use super::hub::message::{Body, Hub, Part, Payload, Reply, RequestHandle};
 use crate::interface::*;
 use crate::protocol::jsonrpc::{self, Events, Message, RpcError};
 use crate::protocol::platform::{self, MOST_BODY};
@@ -33,7 +33,7 @@
     /// The class of its requests.
     pub class: ClassId,
     /// Its calls take effect and must never run twice.
-    pub fragile: bool,
+    pub has_side_effects: bool,
     /// How long a call may take where its client does not say.
     pub deadline: Micros,
 }
@@ -63,13 +63,13 @@
     /// The path at which tool servers take calls.
     pub path: Arc<str>,
     /// Opens the ids under which this conductor relays calls.
-    pub prefix: Arc<str>,
+    pub id_prefix: Arc<str>,
     /// Numbers them.
-    pub numbers: Arc<AtomicU64>,
+    pub next_number: Arc<AtomicU64>,
 }
 
 /// What relayed calls tell their client before and beside their final answers.
-pub type Told = mpsc::Sender<Value>;
+pub type ClientSender = mpsc::Sender<Value>;
 
 impl Relay {
     /// The tool that a request calls.
@@ -82,7 +82,7 @@
     }
 
     /// Runs a call to its final answer. Dropping this calls it off.
-    pub async fn run(&self, call: Call, tool: Tool, told: &Told) -> Result<Value, RpcError> {
+    pub async fn run(&self, call: Call, tool: Tool, told: &ClientSender) -> Result<Value, RpcError> {
         self.clone().relay(call, tool, told.clone(), 0).await
     }
 
@@ -91,13 +91,13 @@
         self,
         call: Call,
         tool: Tool,
-        told: Told,
+        told: ClientSender,
         depth: u32,
     ) -> futures_util::future::BoxFuture<'static, Result<Value, RpcError>> {
         Box::pin(async move {
             let time_left = call.time_left.unwrap_or(tool.deadline).min(tool.deadline);
             let until = Instant::now() + Duration::from_micros(time_left);
-            let id = format!("{}-{}", self.prefix, self.numbers.fetch_add(1, Ordering::Relaxed));
+            let id = format!("{}-{}", self.id_prefix, self.next_number.fetch_add(1, Ordering::Relaxed));
             let payload = self.payload(&id, jsonrpc::call(&id, &call.params));
             if payload.body.len() > MOST_BODY {
                 return Err(RpcError::Invalid("too large"));
@@ -108,13 +108,15 @@
             let admission = Admission { pool: self.pool, request, time_left };
             match self.hub.submit(admission, payload).await {
                 (Reply::Refused(after), _) => Err(RpcError::Refused(after)),
-                (Reply::Failed { may_have_run: true, .. }, _) if tool.fragile => Err(RpcError::MayHaveRun),
+                (Reply::Failed { may_have_run: true, .. }, _) if tool.has_side_effects => {
+                    Err(RpcError::MayHaveRun)
+                }
                 (Reply::Failed { overdue: true, .. }, _) => Err(RpcError::Deadline),
-                (Reply::Failed { .. } | Reply::IdIsOpen, _) => Err(RpcError::Failed),
+                (Reply::Failed { .. } | Reply::IdInUse, _) => Err(RpcError::Failed),
                 (Reply::Stream(body), ticket) => {
                     // Once it has begun, a call that breaks off may have taken effect, its own or that of a
                     // booking it has raised.
-                    let effect = Arc::new(AtomicBool::new(tool.fragile));
+                    let effect = Arc::new(AtomicBool::new(tool.has_side_effects));
                     let stream =
                         Stream { relay: self, call, id, ticket, told, depth, until, effect: effect.clone() };
                     match tokio::time::timeout_at(until, stream.follow(body)).await {
@@ -145,8 +147,8 @@
     relay: Relay,
     call: Call,
     id: String,
-    ticket: Ticket,
-    told: Told,
+    ticket: RequestHandle,
+    told: ClientSender,
     depth: u32,
     until: Instant,
     effect: Arc<AtomicBool>,
@@ -173,7 +175,8 @@
     }
 
     async fn read(&self, mut body: Body, raised: &mut Raised) -> Option<Result<Value, RpcError>> {
-        let events = body.kind.as_ref().is_some_and(|kind| kind.as_bytes().starts_with(b"text/event-stream"));
+        let events =
+            body.content_type.as_ref().is_some_and(|kind| kind.as_bytes().starts_with(b"text/event-stream"));
         let (mut reader, mut whole) = (Events::default(), Vec::new());
         loop {
             let part = tokio::select! {
@@ -227,7 +230,7 @@
         match tool {
             Ok(tool) => {
                 let left = self.until.saturating_duration_since(Instant::now()).as_micros() as Micros;
-                self.effect.fetch_or(tool.fragile, Ordering::Relaxed);
+                self.effect.fetch_or(tool.has_side_effects, Ordering::Relaxed);
                 let call = Call { id: id.clone(), params, session: self.call.session, time_left: Some(left) };
                 let relayed = self.relay.clone().relay(call, tool, self.told.clone(), self.depth + 1);
                 raised.open.spawn(async move { (id, relayed.await) });
@@ -239,7 +242,7 @@
     /// Gives a raised call's result to the server under its own id, and tells the client's stream of it.
     async fn hand_back(&self, raised: Value, result: Result<Value, RpcError>) {
         let message = jsonrpc::response(&raised, &result);
-        self.relay.hub.hand_back(&self.ticket, self.relay.payload(&self.id, message)).await;
+        self.relay.hub.post_to_owner(&self.ticket, self.relay.payload(&self.id, message)).await;
         let _ = self.told.send(jsonrpc::tool_result(&self.call.id, &raised, &result)).await;
     }
 
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use milletseam::transport::peer::connector::REST;
+use milletseam::transport::peer::connector::REUSE_DELAY;
 use peers::stopwatch::Stopwatch;
 use peers::*;
 use tokio::io::AsyncReadExt;
@@ -182,7 +182,7 @@
         next.answer("202 Accepted", "", "{}").await;
         sleep(Duration::from_millis(3)).await;
         seen.wire.write_all_it_takes(&whole("data: other\n\n")).await;
-        if began.elapsed() >= REST {
+        if began.elapsed() >= REUSE_DELAY {
             return false;
         }
         let mut next = writer.next().await;
@@ -209,7 +209,7 @@
         seen.wire.write(answer).await;
         sleep(Duration::from_millis(3)).await;
         seen.wire.write_all_it_takes(answer).await;
-        if began.elapsed() >= REST {
+        if began.elapsed() >= REUSE_DELAY {
             return false;
         }
         assert!(reader.next_release().await.starts_with("DELETE /kv/leases/b1 "));
@@ -465,7 +465,7 @@
             let mut between = conductor.ask(&format!("c{n}"), "ask", 4000).await;
             serve(&mut reader, &mut writer).await;
             assert!(between.rest_of_answer().await.starts_with("HTTP/1.1 200"));
-            sleep(2 * REST).await;
+            sleep(2 * REUSE_DELAY).await;
         }
     });
 }
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -14,7 +14,7 @@
 use milletseam::transport::budget::Budget;
 use milletseam::transport::clock::Clock;
 use milletseam::transport::hub::{self, message::*};
-use milletseam::transport::peer::{Common, Dialect, connector};
+use milletseam::transport::peer::{Dialect, PeerContext, connector};
 use peers::scripted::{Manner, Scripted};
 use peers::stopwatch::Stopwatch;
 use peers::*;
@@ -261,7 +261,8 @@
         let (mut actor, hub) = hub::new(core, clock, budget);
         let names = config.settings.clone().names();
         let fields = names.report.clone().into();
-        let common = Common { pool, hub: hub.clone(), clients, links, dialect: Dialect::Platform, fields };
+        let common =
+            PeerContext { pool, hub: hub.clone(), clients, links, dialect: Dialect::Platform, fields };
         actor.add_pool(common, names.classes);
         tokio::spawn(actor.run());
         let member = |id: u32, address: &str| Member {
@@ -302,7 +303,7 @@
         assert!(seen.head.contains("between"), "{}", seen.head);
         drop(answer);
         seen.answer("503 Service Unavailable", "X-Unprocessed: 1\r\n", "").await;
-        while hub.counted().await.totals.open > 0 {}
+        while hub.counters().await.totals.open > 0 {}
         let (message, _answer) = request(3, "marker");
         hub.send(message).await;
         let seen = tokio::select! {
@@ -311,7 +312,7 @@
         };
         assert!(seen.head.contains("marker"), "{}", seen.head);
         assert_eq!(reader.unseen() + other.unseen(), 0);
-        let totals = hub.counted().await.totals;
+        let totals = hub.counters().await.totals;
         assert_eq!((totals.taken, totals.gone, totals.open), (2, 1, 1), "{totals:?}");
     });
 }
--- a/tests/dials.rs
+++ b/tests/dials.rs
@@ -10,7 +10,7 @@
 use http::Request;
 use http_body_util::BodyExt;
 use milletseam::protocol::settings::Links;
-use milletseam::transport::peer::connector::{Tracked, client};
+use milletseam::transport::peer::connector::{TrackedBody, client};
 use milletseam::transport::peer::idle::ConnectionBudget;
 use peers::stopwatch::Stopwatch;
 use peers::*;
@@ -57,9 +57,9 @@
     story(async {
         let full = Full::start().await;
         let permits = Arc::new(Semaphore::new(2));
-        let peers = client(LINKS, ConnectionBudget::of(permits.clone()));
+        let peers = client(LINKS, ConnectionBudget::with_permits(permits.clone()));
         let call = || {
-            let mut request = Request::new(Tracked::empty());
+            let mut request = Request::new(TrackedBody::empty());
             *request.uri_mut() = format!("http://{}/alive", full.address).parse().expect("an address");
             peers.request(request)
         };
@@ -218,7 +218,7 @@
             let told = Arc::new(AtomicBool::new(false));
             let tells = told.clone();
             let tell = Box::new(move || tells.store(true, Ordering::Relaxed));
-            let (message, fate) = Tracked::attach(head, vec![b'x'; body].into(), tell);
+            let (message, fate) = TrackedBody::attach(head, vec![b'x'; body].into(), tell);
             let (answer, ()) = tokio::join!(peers.request(message), server);
             let error = answer.expect_err("it is reset");
             let whole = body < long || reads > long;
@@ -242,7 +242,7 @@
             let mut head = Request::new(());
             *head.uri_mut() =
                 format!("http://{}/alive", servers[server].address).parse().expect("an address");
-            let (message, fate) = Tracked::attach(head, bytes::Bytes::new(), Box::new(|| {}));
+            let (message, fate) = TrackedBody::attach(head, bytes::Bytes::new(), Box::new(|| {}));
             let answer = peers.request(message).await.expect("a connection");
             let body = answer.into_body().collect().await.expect("a whole answer");
             drop(fate);
@@ -264,7 +264,7 @@
         let message = |peer: &Peer| {
             let mut head = Request::new(());
             *head.uri_mut() = format!("http://{}/slow", peer.address).parse().expect("an address");
-            Tracked::attach(head, bytes::Bytes::new(), Box::new(|| {}))
+            TrackedBody::attach(head, bytes::Bytes::new(), Box::new(|| {}))
         };
         let (out, _fate) = message(&slow);
         let first = tokio::spawn(peers.request(out));
--- a/tests/given_up.rs
+++ b/tests/given_up.rs
@@ -9,7 +9,7 @@
 use http::{Method, Request};
 use milletseam::protocol::settings::Links;
 use milletseam::routing::Evidence;
-use milletseam::transport::peer::connector::{self, REST, Tracked};
+use milletseam::transport::peer::connector::{self, REUSE_DELAY, TrackedBody};
 use milletseam::transport::peer::idle::ConnectionBudget;
 use peers::*;
 use tokio::net::{TcpListener, TcpSocket};
@@ -19,11 +19,11 @@
 const ROUNDS: usize = 3;
 
 /// A post to the address, and what tells its fate.
-fn post(address: &str, body: Bytes) -> (Request<Tracked>, connector::Fate) {
+fn post(address: &str, body: Bytes) -> (Request<TrackedBody>, connector::RequestTracker) {
     let uri = format!("http://{address}/v1/x");
     let mut head = Request::new(());
     (*head.method_mut(), *head.uri_mut()) = (Method::POST, uri.parse().expect("an address"));
-    Tracked::attach(head, body, Box::new(|| {}))
+    TrackedBody::attach(head, body, Box::new(|| {}))
 }
 
 fn client() -> connector::PeerClient {
@@ -109,7 +109,7 @@
             sleep(Duration::from_millis(3)).await;
             drop(second);
             sleep(Duration::from_millis(1)).await;
-            let in_time = began.elapsed() < REST;
+            let in_time = began.elapsed() < REUSE_DELAY;
             let came = timeout(Duration::from_secs(2), seen.wire.message()).await;
             if in_time {
                 counted += 1;
@@ -147,7 +147,7 @@
             assert!(timeout(Duration::from_millis(3), &mut call).await.is_err(), "it rests");
             let reused = fate.evidence() >= Evidence::Connected;
             drop((call, fate));
-            if began.elapsed() < REST && reused {
+            if began.elapsed() < REUSE_DELAY && reused {
                 counted += 1;
                 assert!(wire.message().await.is_none(), "it was written");
             }
