--- a/src/transport/clock.rs
+++ b/src/transport/clock.rs
@@ -4,13 +4,15 @@
 
 use crate::interface::Micros;
 
-/// The clock's reading at the program's start, so that servers which started earlier have a time on it too.
-const AT_START: Micros = 3_600_000_000;
+/// The event time at which the program starts: one hour, so that servers which started earlier have an event time
+/// too.
+const START_TIME: Micros = 3_600_000_000;
 
-/// No time is later, in microseconds, so that a span of the settings, which is below this too, can be added to it.
-const LATEST: f64 = 9e18;
+/// Exclusive upper bound of an event time, in microseconds. Spans in the settings are below it too, so that a span
+/// can be added to a time without overflow.
+const MAX_TIME_US: f64 = 9e18;
 
-/// Maps the monotonic clock, and once, at the start, Unix time to event time.
+/// Maps the monotonic clock to event time. Unix time is related to event time once, at the start.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -18,33 +20,34 @@
 }
 
 impl Clock {
-    /// Starts the clock.
+    /// Starts the clock at the event time of one hour.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { start: Instant::now(), unix_at_start: unix.as_micros() as f64 }
     }
 
-    /// The time now.
+    /// Returns the current event time.
     pub fn now(&self) -> Micros {
-        AT_START + self.start.elapsed().as_micros() as Micros
+        START_TIME + self.start.elapsed().as_micros() as Micros
     }
 
-    /// The instant at an event time.
-    pub fn instant(&self, at: Micros) -> Instant {
-        self.start + std::time::Duration::from_micros(at.saturating_sub(AT_START))
+    /// Returns the instant of an event time; times before the start are taken as the start.
+    pub fn instant(&self, time: Micros) -> Instant {
+        self.start + std::time::Duration::from_micros(time.saturating_sub(START_TIME))
     }
 
-    /// The event time of a Unix time in milliseconds; none if that is long ago or no time at all.
+    /// Returns the event time of a Unix time in milliseconds, or `None` if that lies before event time begins or is
+    /// not a valid time.
     pub fn at_unix_ms(&self, ms: f64) -> Option<Micros> {
-        let at = ms * 1000.0 - self.unix_at_start + AT_START as f64;
-        (ms > 0.0 && (1.0..LATEST).contains(&at)).then_some(at as Micros)
+        let time = ms * 1000.0 - self.unix_at_start + START_TIME as f64;
+        (ms > 0.0 && (1.0..MAX_TIME_US).contains(&time)).then_some(time as Micros)
     }
 }
 
-/// Sleeps until then; without a time, for good.
-pub(super) async fn sleep_until(at: Option<tokio::time::Instant>) {
-    match at {
-        Some(at) => tokio::time::sleep_until(at).await,
+/// Sleeps until the deadline; without one, never returns.
+pub(super) async fn sleep_until(deadline: Option<tokio::time::Instant>) {
+    match deadline {
+        Some(deadline) => tokio::time::sleep_until(deadline).await,
         None => std::future::pending().await,
     }
 }
--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -147,12 +147,12 @@
         };
         let in_use = Held::open();
         let cases: [(OwnedFd, &str, &str, &str); 7] = [
-            (file(), "seven", "", "LB_ACCEPT_FD: 'seven' is no number"),
-            (file(), "1", "", "LB_ACCEPT_FD: '1' is no number of a descriptor from 3 on"),
+            (file(), "seven", "", "LB_ACCEPT_FD: 'seven' is not a descriptor number"),
+            (file(), "1", "", "LB_ACCEPT_FD: '1' is not a descriptor number (3 or higher)"),
             (file(), "93", "", "LB_ACCEPT_FD: descriptor 93 is not open"),
-            (file(), "7", "", "LB_ACCEPT_FD: descriptor 7 is no listening stream socket"),
-            (datagrams(), "7", "", "LB_ACCEPT_FD: descriptor 7 is no listening stream socket"),
-            (connected(), "7", "", "LB_ACCEPT_FD: descriptor 7 is no listening stream socket"),
+            (file(), "7", "", "LB_ACCEPT_FD: descriptor 7 is not a listening stream socket"),
+            (datagrams(), "7", "", "LB_ACCEPT_FD: descriptor 7 is not a listening stream socket"),
+            (connected(), "7", "", "LB_ACCEPT_FD: descriptor 7 is not a listening stream socket"),
             (Held::open().copy(), "7", &in_use.address, "'admin' in the configuration (or LB_ADMIN)"),
         ];
         for (inherited, accept, admin, told) in cases {
