--- a/src/transport/hub/message.rs
+++ b/src/transport/hub/message.rs
@@ -1,4 +1,4 @@
-//! What is told between the module's actor and those around it, and the way to that actor.
+//! The messages between the hub and the actors and fronts around it, and the handle to the hub.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,23 +14,23 @@
 use crate::routing::{Admission, Handled, Input, PoolId, Totals};
 use crate::transport::budget::Budget;
 
-/// What is sent to a server, the same at each attempt.
+/// The message that is sent to a server. It is the same for each attempt of a request.
 #[derive(Clone, Debug)]
 pub struct Payload {
-    /// The request's id on its wire.
+    /// The request's id as it appears in messages.
     pub id: String,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// Path and query of the URI.
     pub path: String,
-    /// Headers that pass on.
+    /// The headers that are passed on.
     pub headers: HeaderMap,
-    /// Body.
+    /// The body.
     pub body: Bytes,
 }
 
 impl Payload {
-    /// The head of a message with this payload, without its address.
+    /// Returns the head of an HTTP request with this payload's method and headers, but without a URI.
     pub fn head(&self) -> http::Request<()> {
         let mut head = http::Request::new(());
         *head.method_mut() = self.method.clone();
@@ -39,53 +39,53 @@
     }
 }
 
-/// A stream ended before it was whole.
+/// The error of an answer's stream that ended before it was complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the stream broke")]
+#[error("the stream ended before it was complete")]
 pub struct IncompleteStream;
 
-/// A part of an answer. A channel that closes before [`Part::End`] is an answer that broke off: whatever
-/// drops a call, its client can't take the rest for whole.
+/// A part of an answer. If the channel closes before [`Part::End`], the answer is incomplete: for whatever reason a
+/// call is dropped, its client can't mistake a truncated answer for a whole one.
 #[derive(Debug)]
 pub enum Part {
-    /// Bytes of it.
+    /// Bytes of the answer.
     Data(Bytes),
-    /// It is whole.
+    /// The answer is complete.
     End,
 }
 
-/// A server's answer as it comes.
+/// A server's answer, passed on while it arrives.
 #[derive(Debug)]
 pub struct Body {
-    /// Its content type.
+    /// The answer's content type.
     pub content_type: Option<HeaderValue>,
-    /// Its parts.
+    /// The parts of the answer.
     pub parts: mpsc::Receiver<Part>,
 }
 
-/// The one answer to a request.
+/// The single reply to a request.
 #[derive(Debug)]
 pub enum Reply {
     /// A server's answer.
     Stream(Body),
-    /// Another request with this id is open: passed on, the two would be taken for one.
+    /// Another request with this id is open. If both were passed on, servers would take them for one.
     IdInUse,
-    /// Refused; trying again is harmless, after this long.
+    /// The request is refused. Sending it again is harmless, after this time if one is given.
     Refused(Option<Micros>),
-    /// Failed.
+    /// The request has failed.
     Failed {
-        /// It may have run somewhere.
+        /// The request may have run on a server.
         may_have_run: bool,
-        /// Its time was over.
+        /// The request's deadline has passed.
         overdue: bool,
     },
 }
 
-/// What the module's actor is told.
+/// A message to the hub.
 pub enum Message {
-    /// A request has come in.
+    /// A front hands in a request, and expects the reply on the channel.
     Request(Box<Admission>, Arc<Payload>, oneshot::Sender<Reply>),
-    /// The first event of an answer is there.
+    /// The first event of an attempt's answer has arrived.
     AnswerStarted {
         /// The request.
         request: RequestId,
@@ -94,11 +94,11 @@
         /// The answer.
         body: Body,
     },
-    /// Something for the core alone.
+    /// An input that is passed to the core as it is.
     Input(Input),
-    /// Who is a member of a pool from now on.
+    /// The members of a pool from now on.
     List(PoolId, Arc<Generation>),
-    /// A message for the server whose answer a request has, beside that answer.
+    /// Posts a message to the server that owns a request, which is the one whose answer the client gets.
     PostToOwner(RequestId, Arc<Payload>),
     /// Asks for the counters.
     GetCounters(oneshot::Sender<Counters>),
@@ -107,20 +107,20 @@
 /// What has been counted since the start, over all pools.
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
-    /// All together.
+    /// The totals over all classes.
     pub totals: Totals,
-    /// By the class's name.
+    /// How requests were handled, by the name of their class.
     pub handled: Vec<(String, Handled)>,
 }
 
 impl Counters {
-    /// The figures that operators ask for, under the names that they use.
+    /// Returns the metrics that operators query, under the names that they use.
     pub fn service_metrics(&self) -> Vec<Figure> {
         let mut figures = Vec::new();
         for (class, Handled { served, refused, failed }) in &self.handled {
-            let ends = [("passed", served), ("dropped", refused), ("bad_gateway", failed)];
+            let by_end = [("passed", served), ("dropped", refused), ("bad_gateway", failed)];
             figures
-                .extend(ends.map(|(end, count)| Figure::counter(format!("handled.{class}.{end}"), *count)));
+                .extend(by_end.map(|(end, count)| Figure::counter(format!("handled.{class}.{end}"), *count)));
         }
         let Totals { written, unreachable, released, released_late, released_unheard, .. } = self.totals;
         let Totals { open, known, avoided, .. } = self.totals;
@@ -137,7 +137,7 @@
         figures
     }
 
-    /// All figures: the program's own, then those.
+    /// Returns all metrics: the program's own, followed by the service metrics.
     pub fn all_metrics(&self) -> Vec<Figure> {
         let Totals { taken, sent, served, refused, failed, broken, gone, probes, open, .. } = self.totals;
         let counters = [
@@ -155,15 +155,15 @@
     }
 }
 
-/// The way to the module's actor.
+/// A handle to the hub, through which messages are sent to it.
 #[derive(Clone)]
 pub struct Hub {
     inbox: mpsc::Sender<Message>,
-    ids: Arc<AtomicU64>,
+    next_id: Arc<AtomicU64>,
     budget: Budget,
 }
 
-/// A request that is open; dropping it tells that its client has left.
+/// Stands for an open request; dropping it reports that the request's client has left.
 pub struct RequestHandle {
     id: RequestId,
     hub: Hub,
@@ -171,54 +171,54 @@
 
 impl Drop for RequestHandle {
     fn drop(&mut self) {
-        // After the last part of an answer this tells nothing new, and is passed over.
+        // After the last part of an answer this is no news, and is ignored.
         self.hub.send_detached(Message::Input(Input::Gone(self.id)));
     }
 }
 
 impl Hub {
-    /// A way to whoever reads the other end.
+    /// Creates a handle that sends to this inbox.
     pub(super) fn new(inbox: mpsc::Sender<Message>, budget: Budget) -> Self {
-        Hub { inbox, ids: Arc::default(), budget }
+        Hub { inbox, next_id: Arc::default(), budget }
     }
 
-    /// Tells the module's actor something.
+    /// Sends a message to the hub, and waits while its inbox is full.
     pub async fn send(&self, message: Message) {
-        // It is gone only when the program ends.
+        // Sending fails only when the program ends.
         let _ = self.inbox.send(message).await;
     }
 
-    /// The descriptor budget.
+    /// Returns the file descriptor budget.
     pub fn budget(&self) -> &Budget {
         &self.budget
     }
 
-    /// Hands a request in and waits for its answer; the ticket is kept until the answer has been passed on.
+    /// Hands in a request and waits for its reply. The caller keeps the handle until it has passed the answer on.
     pub async fn submit(&self, mut admission: Admission, payload: Payload) -> (Reply, RequestHandle) {
-        let number = self.ids.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_id.fetch_add(1, Ordering::Relaxed);
         let mut id = [b'0'; 36];
         id.iter_mut().rev().zip(format!("{number}").bytes().rev()).for_each(|(to, digit)| *to = digit);
         admission.request.id = RequestId(id);
-        let ticket = RequestHandle { id: admission.request.id, hub: self.clone() };
+        let handle = RequestHandle { id: admission.request.id, hub: self.clone() };
         let (reply, answer) = oneshot::channel();
         self.send(Message::Request(Box::new(admission), Arc::new(payload), reply)).await;
-        let lost = Reply::Failed { may_have_run: true, overdue: false };
-        (answer.await.unwrap_or(lost), ticket)
+        let closed = Reply::Failed { may_have_run: true, overdue: false };
+        (answer.await.unwrap_or(closed), handle)
     }
 
-    /// Sends a message to the server whose answer is being passed on; nothing if that has ended.
-    pub async fn post_to_owner(&self, ticket: &RequestHandle, payload: Payload) {
-        self.send(Message::PostToOwner(ticket.id, Arc::new(payload))).await;
+    /// Posts a message to the server whose answer is being passed on. Nothing is sent if that answer has ended.
+    pub async fn post_to_owner(&self, handle: &RequestHandle, payload: Payload) {
+        self.send(Message::PostToOwner(handle.id, Arc::new(payload))).await;
     }
 
-    /// What has been counted.
+    /// Returns the counters.
     pub async fn counters(&self) -> Counters {
-        let (sender, counted) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         self.send(Message::GetCounters(sender)).await;
-        counted.await.unwrap_or_default()
+        receiver.await.unwrap_or_default()
     }
 
-    /// Tells the module's actor something from where nothing can be waited for.
+    /// Sends a message to the hub without waiting: if its inbox is full, a task of its own waits and sends it.
     pub fn send_detached(&self, message: Message) {
         if let Err(mpsc::error::TrySendError::Full(message)) = self.inbox.try_send(message) {
             let hub = self.clone();
--- a/src/transport/hub/mod.rs
+++ b/src/transport/hub/mod.rs
@@ -1,5 +1,5 @@
-//! The module's actor: the one place that feeds the core, reads the clock once a turn, and hands out what
-//! the core wants done.
+//! The hub: the actor that owns the core. It alone feeds the core, reads the clock once for each batch of messages, and
+//! carries out the core's outputs.
 
 pub mod message;
 
@@ -17,85 +17,93 @@
 use crate::membership::Generation;
 use crate::routing::{Core, Handled, Input, Output, PoolId};
 
-/// Messages that may wait for the module.
-const MAILBOX: usize = 4096;
-/// Messages taken in one turn of the loop, at one reading of the clock.
-const TURN: usize = 256;
+/// Capacity of the hub's inbox, in messages.
+const MAILBOX_CAPACITY: usize = 4096;
+/// Most messages that are handled in one turn of the loop, at one reading of the clock.
+const MAX_BATCH: usize = 256;
 
-struct Held {
+/// What the hub keeps for a request until the core forgets it.
+struct OpenRequest {
     payload: Arc<Payload>,
+    /// The channel to the waiting client, until the reply is sent.
     reply: Option<oneshot::Sender<Reply>>,
-    heads: Vec<(u32, Body)>,
-    /// Where its attempts went, in their order. A peer that the list has dropped is still there for them.
-    sent: Vec<(u32, mpsc::Sender<PeerMessage>)>,
+    /// The answers that have started and are neither passed on nor cancelled, by attempt.
+    answers: Vec<(u32, Body)>,
+    /// The peer of each attempt, in the order of the attempts. It can still be reached here after the list of servers
+    /// has dropped it.
+    attempt_peers: Vec<(u32, mpsc::Sender<PeerMessage>)>,
+    /// The peer whose answer the client gets.
     owner: Option<mpsc::Sender<PeerMessage>>,
 }
 
-impl Held {
-    fn at(&self, attempt: u32) -> Option<mpsc::Sender<PeerMessage>> {
-        self.sent.iter().find(|(number, _)| *number == attempt).map(|(_, peer)| peer.clone())
+impl OpenRequest {
+    fn peer_of(&self, attempt: u32) -> Option<mpsc::Sender<PeerMessage>> {
+        self.attempt_peers.iter().find(|(number, _)| *number == attempt).map(|(_, peer)| peer.clone())
     }
 }
 
-struct PeerAt {
+/// A member of a pool, and its actor if that has been started.
+struct PeerEntry {
     name: Arc<str>,
     address: Arc<str>,
-    /// The way to its actor, once that was needed.
+    /// The inbox of the peer's actor, once that has been needed.
     inbox: Option<mpsc::Sender<PeerMessage>>,
 }
 
+/// The peers of a pool.
 struct Pool {
-    common: PeerContext,
-    /// The names of its classes.
+    context: PeerContext,
+    /// The names of the pool's classes.
     classes: Vec<String>,
-    peers: HashMap<ServerId, PeerAt>,
+    peers: HashMap<ServerId, PeerEntry>,
 }
 
 impl Pool {
     fn peer(&mut self, server: ServerId) -> Option<mpsc::Sender<PeerMessage>> {
         let peer = self.peers.get_mut(&server)?;
-        let start = || peer::start(self.common.clone(), server, peer.address.to_string());
+        let start = || peer::start(self.context.clone(), server, peer.address.to_string());
         Some(peer.inbox.get_or_insert_with(start).clone())
     }
 }
 
-/// The module's actor before it runs.
+/// The hub's actor. It does nothing until [`Actor::run`] is called.
 pub struct Actor {
     core: Core,
     clock: Clock,
     pools: Vec<Pool>,
-    held: HashMap<RequestId, Held>,
-    ids: HashSet<String>,
+    requests: HashMap<RequestId, OpenRequest>,
+    open_ids: HashSet<String>,
     inbox: mpsc::Receiver<Message>,
 }
 
-/// Makes the actor and the way to it.
+/// Creates the actor and a handle to it.
 pub fn new(core: Core, clock: Clock, budget: Budget) -> (Actor, Hub) {
-    let (sender, inbox) = mpsc::channel(MAILBOX);
+    let (sender, inbox) = mpsc::channel(MAILBOX_CAPACITY);
     let hub = Hub::new(sender, budget);
-    (Actor { core, clock, pools: Vec::new(), held: HashMap::new(), ids: HashSet::new(), inbox }, hub)
+    (Actor { core, clock, pools: Vec::new(), requests: HashMap::new(), open_ids: HashSet::new(), inbox }, hub)
 }
 
 impl Actor {
-    /// Adds what the peers of the next pool share, in the order of the core's pools.
-    pub fn add_pool(&mut self, common: PeerContext, classes: Vec<String>) {
-        self.pools.push(Pool { common, classes, peers: HashMap::new() });
+    /// Adds the next pool, given what its peers share and the names of its classes. Pools are added in the order of
+    /// the core's pools.
+    pub fn add_pool(&mut self, context: PeerContext, classes: Vec<String>) {
+        self.pools.push(Pool { context, classes, peers: HashMap::new() });
     }
 
     /// Runs for as long as the program does.
     pub async fn run(mut self) {
-        let mut messages = Vec::with_capacity(TURN);
+        let mut messages = Vec::with_capacity(MAX_BATCH);
         let mut outputs = Vec::new();
         loop {
             let due = self.core.next_due().map(|at| self.clock.instant(at).into());
             tokio::select! {
                 biased;
-                count = self.inbox.recv_many(&mut messages, TURN) => if count == 0 { return },
+                count = self.inbox.recv_many(&mut messages, MAX_BATCH) => if count == 0 { return },
                 () = clock::sleep_until(due) => {}
             }
             let now = self.clock.now();
             for message in messages.drain(..) {
-                self.take(now, message, &mut outputs);
+                self.handle_message(now, message, &mut outputs);
             }
             self.core.tick(now, &mut outputs);
             for output in outputs.drain(..) {
@@ -104,67 +112,73 @@
         }
     }
 
-    fn take(&mut self, now: Micros, message: Message, out: &mut Vec<Output>) {
+    fn handle_message(&mut self, now: Micros, message: Message, outputs: &mut Vec<Output>) {
         match message {
-            Message::Request(_, payload, reply) if self.ids.contains(&payload.id) => {
+            Message::Request(_, payload, reply) if self.open_ids.contains(&payload.id) => {
                 let _ = reply.send(Reply::IdInUse);
             }
-            // Its client has gone while it stood in the mailbox: it is as if it had never come.
+            // The client left while the request waited in the inbox, so the core never sees the request.
             Message::Request(_, _, reply) if reply.is_closed() => {}
             Message::Request(admission, payload, reply) => {
-                self.ids.insert(payload.id.clone());
-                let held =
-                    Held { payload, reply: Some(reply), heads: Vec::new(), sent: Vec::new(), owner: None };
-                self.held.insert(admission.request.id, held);
-                self.core.handle(now, Input::Request(*admission), out);
+                self.open_ids.insert(payload.id.clone());
+                let open = OpenRequest {
+                    payload,
+                    reply: Some(reply),
+                    answers: Vec::new(),
+                    attempt_peers: Vec::new(),
+                    owner: None,
+                };
+                self.requests.insert(admission.request.id, open);
+                self.core.handle(now, Input::Request(*admission), outputs);
             }
             Message::AnswerStarted { request, attempt, body } => {
-                if let Some(held) = self.held.get_mut(&request) {
-                    held.heads.push((attempt, body));
+                if let Some(open) = self.requests.get_mut(&request) {
+                    open.answers.push((attempt, body));
                 }
-                self.core.handle(now, Input::Started(request, attempt), out);
+                self.core.handle(now, Input::Started(request, attempt), outputs);
             }
-            Message::Input(input) => self.core.handle(now, input, out),
+            Message::Input(input) => self.core.handle(now, input, outputs),
             Message::List(pool, generation) => {
-                self.settle(pool, &generation);
+                self.update_peers(pool, &generation);
                 let entries = generation.members.iter().map(|member| member.entry).collect();
                 let update = ListUpdate { scope: ListScope::Full, entries };
-                self.core.handle(now, Input::List(pool, generation.number, update), out);
+                self.core.handle(now, Input::List(pool, generation.number, update), outputs);
             }
             Message::PostToOwner(request, payload) => {
-                if let Some(owner) = self.held.get(&request).and_then(|held| held.owner.as_ref()) {
-                    // With a full mailbox the server would not get it in time either.
+                if let Some(owner) = self.requests.get(&request).and_then(|open| open.owner.as_ref()) {
+                    // If the inbox is full, the server would not get the message in time anyway.
                     let _ = owner.try_send(PeerMessage::Post(payload));
                 }
             }
             Message::GetCounters(sender) => {
-                let _ = sender.send(self.counted(now));
+                let _ = sender.send(self.counters(now));
             }
         }
     }
 
-    fn counted(&self, now: Micros) -> Counters {
+    fn counters(&self, now: Micros) -> Counters {
         let mut handled: Vec<(String, Handled)> = Vec::new();
         for pool in &self.pools {
-            // Two pools may know a class by the same name.
-            for (name, ends) in pool.classes.iter().zip(self.core.handled(pool.common.pool)) {
+            // Two pools may have classes of the same name.
+            for (name, counts) in pool.classes.iter().zip(self.core.handled(pool.context.pool)) {
                 match handled.iter_mut().find(|(known, _)| known == name) {
-                    Some((_, sum)) => *sum += *ends,
-                    None => handled.push((name.clone(), *ends)),
+                    Some((_, sum)) => *sum += *counts,
+                    None => handled.push((name.clone(), *counts)),
                 }
             }
         }
         Counters { totals: self.core.totals(now), handled }
     }
 
-    /// Leaves the actors of peers that are gone to end by themselves, and tells those that have moved.
-    fn settle(&mut self, pool: PoolId, generation: &Generation) {
+    /// Updates the peers of a pool to a new generation. The actors of peers that are gone end by themselves, as their
+    /// inbox closes; those of peers that have moved are sent the new address.
+    fn update_peers(&mut self, pool: PoolId, generation: &Generation) {
         let Some(pool) = self.pools.get_mut(usize::from(pool.0)) else { return };
-        let mut before = std::mem::take(&mut pool.peers);
+        let mut previous = std::mem::take(&mut pool.peers);
         pool.peers.reserve(generation.members.len());
         for member in &generation.members {
             let id = member.entry.id;
-            let mut peer = before.remove(&id).unwrap_or_else(|| PeerAt {
+            let mut peer = previous.remove(&id).unwrap_or_else(|| PeerEntry {
                 name: member.name.clone(),
                 address: member.address.clone(),
                 inbox: None,
@@ -179,7 +193,8 @@
         }
     }
 
-    /// The way to a peer's actor, which starts when it is first needed: of a large fleet most are not for long.
+    /// Returns the inbox of a peer's actor. The actor is started when it is first needed, as most servers of a large
+    /// fleet are not needed for a long time.
     fn peer(&mut self, pool: PoolId, server: ServerId) -> Option<mpsc::Sender<PeerMessage>> {
         self.pools.get_mut(usize::from(pool.0))?.peer(server)
     }
@@ -188,40 +203,42 @@
         match output {
             Output::Send { pool, request, attempt, server, time_left, generation, connection } => {
                 let peer = self.peer(pool, server);
-                let Some(held) = self.held.get_mut(&request) else { return };
-                // Its client has gone, and the message that says so still stands in the mailbox.
-                if held.reply.as_ref().is_some_and(oneshot::Sender::is_closed) {
+                let Some(open) = self.requests.get_mut(&request) else { return };
+                // The client has left, and the message that says so still waits in the inbox.
+                if open.reply.as_ref().is_some_and(oneshot::Sender::is_closed) {
                     let (outcome, kept_tokens, report) = (Outcome::NotSent, 0, None);
                     let ended = Input::Ended { request, attempt, outcome, kept_tokens, report };
-                    return self.again([Input::Gone(request), ended]);
+                    return self.send_to_self([Input::Gone(request), ended]);
                 }
-                let payload = held.payload.clone();
+                let payload = open.payload.clone();
                 let send = Attempt { request, number: attempt, payload, time_left, generation, connection };
                 match peer {
                     Some(peer) => {
-                        held.sent.push((attempt, peer.clone()));
-                        tell(&peer, PeerMessage::Send(send)).await;
+                        open.attempt_peers.push((attempt, peer.clone()));
+                        send_to_peer(&peer, PeerMessage::Send(send)).await;
                     }
                     None => {
                         let (outcome, kept_tokens, report) = (Outcome::ConnectFailed, 0, None);
-                        self.again([Input::Ended { request, attempt, outcome, kept_tokens, report }]);
+                        self.send_to_self([Input::Ended { request, attempt, outcome, kept_tokens, report }]);
                     }
                 }
             }
             Output::Cancel { request, attempt, reason } => {
-                let Some(held) = self.held.get_mut(&request) else { return };
-                held.heads.retain(|(number, _)| *number != attempt);
-                if let Some(peer) = held.at(attempt) {
-                    tell(&peer, PeerMessage::Cancel(request, attempt, reason)).await;
+                let Some(open) = self.requests.get_mut(&request) else { return };
+                open.answers.retain(|(number, _)| *number != attempt);
+                if let Some(peer) = open.peer_of(attempt) {
+                    send_to_peer(&peer, PeerMessage::Cancel(request, attempt, reason)).await;
                 }
             }
             Output::Relay(request, attempt) => {
-                let Some(held) = self.held.get_mut(&request) else { return };
-                held.owner = held.at(attempt);
-                let Some(at) = held.heads.iter().position(|(number, _)| *number == attempt) else { return };
-                let (_, body) = held.heads.swap_remove(at);
-                // Nothing more is sent for the request: its text need not wait for the end of the answer.
-                held.payload = Arc::new(Payload { body: Bytes::new(), ..(*held.payload).clone() });
+                let Some(open) = self.requests.get_mut(&request) else { return };
+                open.owner = open.peer_of(attempt);
+                let Some(index) = open.answers.iter().position(|(number, _)| *number == attempt) else {
+                    return;
+                };
+                let (_, body) = open.answers.swap_remove(index);
+                // The request is not sent again, so its body need not be kept until the answer ends.
+                open.payload = Arc::new(Payload { body: Bytes::new(), ..(*open.payload).clone() });
                 self.answer(request, Reply::Stream(body));
             }
             Output::Refuse(request, retry_after) => self.answer(request, Reply::Refused(retry_after)),
@@ -229,48 +246,48 @@
                 self.answer(request, Reply::Failed { may_have_run, overdue });
             }
             Output::Release { pool, request, server, connection } => {
-                let Some(held) = self.held.get(&request) else { return };
-                let id = held.payload.id.clone();
+                let Some(open) = self.requests.get(&request) else { return };
+                let id = open.payload.id.clone();
                 match self.peer(pool, server) {
-                    Some(peer) => tell(&peer, PeerMessage::Release(request, id, connection)).await,
-                    None => self.again([Input::Released(request, false)]),
+                    Some(peer) => send_to_peer(&peer, PeerMessage::Release(request, id, connection)).await,
+                    None => self.send_to_self([Input::Released(request, false)]),
                 }
             }
             Output::Hold(pool, request, server) => {
-                let Some(held) = self.held.get(&request) else { return };
-                let id = held.payload.id.clone();
+                let Some(open) = self.requests.get(&request) else { return };
+                let id = open.payload.id.clone();
                 if let Some(peer) = self.peer(pool, server) {
-                    tell(&peer, PeerMessage::Hold(request, id)).await;
+                    send_to_peer(&peer, PeerMessage::Hold(request, id)).await;
                 }
             }
             Output::Probe(pool, server) => {
                 if let Some(peer) = self.peer(pool, server) {
-                    tell(&peer, PeerMessage::Probe).await;
+                    send_to_peer(&peer, PeerMessage::Probe).await;
                 } else {
                     let (outcome, took, report) = (Outcome::ConnectFailed, 0, None);
-                    self.again([Input::Probed { pool, server, outcome, took, report }]);
+                    self.send_to_self([Input::Probed { pool, server, outcome, took, report }]);
                 }
             }
             Output::CloseIdle(pool, server) => {
                 if let Some(peer) = self.peer(pool, server) {
-                    tell(&peer, PeerMessage::CloseIdle).await;
+                    send_to_peer(&peer, PeerMessage::CloseIdle).await;
                 }
             }
-            // Only expectations observe.
+            // Only pools that are observed explain their choices, and only expectations observe a pool.
             Output::Explain(_) => {}
             Output::Log(text) => tracing::info!(target: "birchspur::module", "{text}"),
             Output::Ejected(pool, server) => self.log_ejected(pool, server),
             Output::HeldTooLong { request, waited, taken } => {
-                let id = self.held.get(&request).map(|held| held.payload.id.as_str());
+                let id = self.requests.get(&request).map(|open| open.payload.id.as_str());
                 tracing::warn!(
                     target: "birchspur::held",
                     { request.id = id, waited_us = waited, taken },
-                    "a read state was held for too long; a server that hangs or can't be reached had its fetch or its release"
+                    "a read state was held for too long; the server that was to fetch or release it hangs or can't be reached"
                 );
             }
             Output::Forget(request) => {
-                if let Some(held) = self.held.remove(&request) {
-                    self.ids.remove(&held.payload.id);
+                if let Some(open) = self.requests.remove(&request) {
+                    self.open_ids.remove(&open.payload.id);
                 }
             }
         }
@@ -282,26 +299,26 @@
         tracing::info!(
             target: "birchspur::module",
             { server.name = name, server.address = address },
-            "server in doubt: it gave no sign of life, and is tried again in a while"
+            "server ejected: it has not responded since a failure, and is tried again after a while"
         );
     }
 
     fn answer(&mut self, request: RequestId, reply: Reply) {
-        if let Some(held) = self.held.get(&request) {
-            let id = held.payload.id.as_str();
+        if let Some(open) = self.requests.get(&request) {
+            let id = open.payload.id.as_str();
             let stream = matches!(reply, Reply::Stream(_));
             tracing::debug!(target: "birchspur::attempt", { request.id = id, stream }, "answer");
         }
-        if let Some(reply_to) = self.held.get_mut(&request).and_then(|held| held.reply.take()) {
-            // Where nobody waits any more, the ticket tells so.
+        if let Some(reply_to) = self.requests.get_mut(&request).and_then(|open| open.reply.take()) {
+            // If nobody waits for the reply any more, the drop of the request's handle reports that.
             let _ = reply_to.send(reply);
         }
     }
 
-    /// Feeds something back by way of the mailbox, so that it meets the core in a turn of its own.
-    fn again<const N: usize>(&self, inputs: [Input; N]) {
+    /// Sends inputs to the hub's own inbox, so that the core handles them in a later turn.
+    fn send_to_self<const N: usize>(&self, inputs: [Input; N]) {
         if let Some(pool) = self.pools.first() {
-            let hub = pool.common.hub.clone();
+            let hub = pool.context.hub.clone();
             tokio::spawn(async move {
                 for input in inputs {
                     hub.send(Message::Input(input)).await;
@@ -311,8 +328,8 @@
     }
 }
 
-/// A peer's actor never waits for the module's, so waiting for room in its mailbox can't lock up; and it runs
-/// for as long as there is a way to it.
-async fn tell(peer: &mpsc::Sender<PeerMessage>, message: PeerMessage) {
+/// Sends a message to a peer's actor, and waits while its inbox is full. That can't deadlock, as the peer's actor
+/// itself never waits for the hub; and it runs for as long as a sender to its inbox exists.
+async fn send_to_peer(peer: &mpsc::Sender<PeerMessage>, message: PeerMessage) {
     let _ = peer.send(message).await;
 }
