--- a/src/transport/hub/mod.rs
+++ b/src/transport/hub/mod.rs
@@ -233,10 +233,8 @@
             Output::Relay(request, attempt) => {
                 let Some(open) = self.requests.get_mut(&request) else { return };
                 open.owner = open.peer_of(attempt);
-                let Some(index) = open.answers.iter().position(|(number, _)| *number == attempt) else {
-                    return;
-                };
-                let (_, body) = open.answers.swap_remove(index);
+                let Some(i) = open.answers.iter().position(|(number, _)| *number == attempt) else { return };
+                let (_, body) = open.answers.swap_remove(i);
                 // The request is not sent again, so its body need not be kept until the answer ends.
                 open.payload = Arc::new(Payload { body: Bytes::new(), ..(*open.payload).clone() });
                 self.answer(request, Reply::Stream(body));
