--- a/src/transport/export.rs
+++ b/src/transport/export.rs
@@ -58,9 +58,7 @@
                 match answers.next_line().await? {
                     Some(answer) if collectd::accepted(&answer) => {}
                     answer => {
-                        return Err(io::Error::other(
-                            answer.unwrap_or("the connection was closed before a reply".into()),
-                        ));
+                        return Err(io::Error::other(answer.unwrap_or("closed without a reply".into())));
                     }
                 }
             }
