--- a/src/transport/export.rs
+++ b/src/transport/export.rs
@@ -57,9 +57,7 @@
                 writer.write_all(command.as_bytes()).await?;
                 match answers.next_line().await? {
                     Some(answer) if collectd::accepted(&answer) => {}
-                    answer => {
-                        return Err(io::Error::other(answer.unwrap_or("closed without a reply".into())));
-                    }
+                    answer => return Err(io::Error::other(answer.unwrap_or("no reply before close".into()))),
                 }
             }
             Ok(())
--- a/src/transport/list/discovery.rs
+++ b/src/transport/list/discovery.rs
@@ -1,4 +1,4 @@
-//! Watches discovery without a pause and hands on what that tells.
+//! Watches discovery for as long as the program runs and passes its lists on to the list's actor.
 
 use http::{Request, StatusCode};
 use http_body_util::{BodyExt, Limited};
@@ -13,45 +13,47 @@
 use crate::transport::clock::Clock;
 use crate::transport::peer::connector::{PeerClient, TrackedBody};
 
-/// The largest list.
-const MOST_LIST: usize = 4 * 1024 * 1024;
+/// Size limit of a list, in bytes; a larger one is not read.
+const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
-/// Watches the list of one pool's discovery.
+/// Watches the list that one pool gets from discovery.
 pub struct Watcher {
-    /// Where discovery listens; a new configuration may name another address.
+    /// The address of discovery, which a new configuration may change.
     pub address: watch::Receiver<String>,
-    /// The client.
+    /// The HTTP client for the calls.
     pub client: PeerClient,
-    /// Where news goes.
+    /// The list's actor, which gets the lists.
     pub list: ListHandle,
-    /// The clock of the pacing.
+    /// The clock that the pacing runs on.
     pub clock: Clock,
-    /// What is asked, and when.
+    /// Decides which call is made next, and when.
     pub pacing: Pacing,
 }
 
+/// Why a call to discovery gave no list.
 #[derive(Debug, Error)]
 enum ListError {
-    #[error("the address is no address")]
+    #[error("the address is not valid")]
     Address,
-    #[error("no answer: {0}")]
+    #[error("the request failed: {0}")]
     Call(#[from] hyper_util::client::legacy::Error),
-    #[error("the answer broke off")]
+    #[error("the answer's body could not be read to its end")]
     Body(#[from] Box<dyn std::error::Error + Send + Sync>),
-    #[error("answered {0}")]
+    #[error("the answer's status is {0}")]
     Status(StatusCode),
-    #[error("no list: {0}")]
+    #[error("the answer is not a list: {0}")]
     Json(#[from] serde_json::Error),
-    #[error("no answer in time")]
-    Late(#[from] tokio::time::error::Elapsed),
+    #[error("the request timed out")]
+    Timeout(#[from] tokio::time::error::Elapsed),
 }
 
 impl ListError {
-    fn input(&self) -> ListInput {
+    /// Returns what the error means for the pacing.
+    fn to_input(&self) -> ListInput {
         ListInput::Ended(match self {
-            ListError::Late(_) => return ListInput::Due,
+            ListError::Timeout(_) => return ListInput::Due,
             ListError::Call(_) | ListError::Body(_) => ListEnded::Broke,
-            // Busy as it is, it still knows what this watch has heard.
+            // Discovery is overloaded, but it has not lost the revision that this watch has reached.
             ListError::Status(status)
                 if status.is_server_error() || *status == StatusCode::TOO_MANY_REQUESTS =>
             {
@@ -65,14 +67,14 @@
 impl Watcher {
     /// Watches for as long as the program runs.
     pub async fn run(mut self) {
-        let mut moves = self.address.clone();
+        let mut address_changes = self.address.clone();
         loop {
-            let address = moves.borrow_and_update().clone();
+            let address = address_changes.borrow_and_update().clone();
             match self.pacing.phase() {
                 ListPhase::Pausing { until } => {
                     let due = sleep_until(self.clock.instant(until).into());
                     let input = tokio::select! {
-                        Ok(()) = moves.changed() => ListInput::Moved,
+                        Ok(()) = address_changes.changed() => ListInput::Moved,
                         () = due => ListInput::Due,
                     };
                     self.pacing.handle(self.clock.now(), input);
@@ -80,20 +82,21 @@
                 ListPhase::Calling { call, until, .. } => {
                     let answer = tokio::select! {
                         biased;
-                        // The old discovery falls silent soon, and what the new one has to tell counts as told.
-                        Ok(()) = moves.changed() => {
+                        // The old discovery will soon stop answering, and this program is expected to know what the
+                        // new one has from now on.
+                        Ok(()) = address_changes.changed() => {
                             self.pacing.handle(self.clock.now(), ListInput::Moved);
                             continue;
                         }
-                        answer = timeout_at(self.clock.instant(until).into(), self.ask(&address, call)) => answer,
+                        answer = timeout_at(self.clock.instant(until).into(), self.request_list(&address, call)) => answer,
                     };
-                    self.answered(&address, answer.map_err(ListError::from).and_then(|list| list)).await;
+                    self.handle_answer(&address, answer.map_err(ListError::from).and_then(|list| list)).await;
                 }
             }
         }
     }
 
-    async fn answered(&mut self, address: &str, answer: Result<List, ListError>) {
+    async fn handle_answer(&mut self, address: &str, answer: Result<List, ListError>) {
         let now = self.clock.now();
         match answer {
             Ok(list) => {
@@ -104,7 +107,7 @@
                     complete = list.complete,
                     entries = list.members.len(),
                     taken,
-                    "discovery answers"
+                    "discovery sent a list"
                 );
                 if taken {
                     let scope = if list.complete { ListScope::Full } else { ListScope::Changes };
@@ -112,18 +115,18 @@
                 }
             }
             Err(error) => {
-                tracing::warn!(discovery.address = address, %error, "discovery does not answer");
-                self.pacing.handle(now, error.input());
+                tracing::warn!(discovery.address = address, %error, "discovery request failed");
+                self.pacing.handle(now, error.to_input());
             }
         }
     }
 
-    async fn ask(&self, address: &str, call: ListCall) -> Result<List, ListError> {
-        let held = |from: u64, hold: Micros| format!("?from={from}&hold_ms={}", hold / 1_000);
+    async fn request_list(&self, address: &str, call: ListCall) -> Result<List, ListError> {
+        let query_since = |from: u64, hold: Micros| format!("?from={from}&hold_ms={}", hold / 1_000);
         let query = match call {
             ListCall::Whole => String::new(),
-            ListCall::Check { from } => held(from, 0),
-            ListCall::Watch { from, hold } => held(from, hold),
+            ListCall::Check { from } => query_since(from, 0),
+            ListCall::Watch { from, hold } => query_since(from, hold),
         };
         let mut request = Request::new(TrackedBody::empty());
         *request.uri_mut() =
@@ -132,7 +135,7 @@
         if response.status() != StatusCode::OK {
             return Err(ListError::Status(response.status()));
         }
-        let body = Limited::new(response.into_body(), MOST_LIST).collect().await?.to_bytes();
+        let body = Limited::new(response.into_body(), MAX_LIST_BYTES).collect().await?.to_bytes();
         Ok(serde_json::from_slice(&body)?)
     }
 }
--- a/src/transport/list/files.rs
+++ b/src/transport/list/files.rs
@@ -1,6 +1,6 @@
-//! Reads and watches a directory of files of servers, on a thread of its own: reading and parsing never hold
-//! up the routing loop. What the system tells of changes is only a hint to read again; the content decides,
-//! and a poll finds what no hint told.
+//! Reads and watches a directory of server files, on a thread of its own, so that reading and parsing never hold up
+//! the routing loop. The system's change notifications are only hints to read the directory again: the files' content
+//! decides, and polling finds the changes for which no hint came.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -20,37 +20,37 @@
 use crate::documents::servers::{self, MANIFEST};
 use crate::membership::{Digest, Manifest, Place, Reason, Refusal, Scan, SetFile};
 
-/// The ending of files that are read.
-const ENDING: &str = "kdl";
-/// Hints come in bursts: so much later the directory is read once for all of them.
-const GATHER: Duration = Duration::from_millis(2);
-/// While hints never cease, the directory is still read this often.
-const GATHER_MOST: Duration = Duration::from_millis(20);
+/// The extension of the files that are read.
+const EXTENSION: &str = "kdl";
+/// Hints come in bursts. The directory is read once for a whole burst, when no hint has come for this long.
+const HINT_QUIET_PERIOD: Duration = Duration::from_millis(2);
+/// The longest that a read is put off by hints that keep coming.
+const MAX_HINT_DELAY: Duration = Duration::from_millis(20);
 
-/// What was made of each file by its name, with the digest of its content.
-type Made<T> = BTreeMap<String, (Digest, Result<T, Refusal>)>;
+/// The result of parsing each file, by its name, with the digest of the content that was parsed.
+type ParseCache<T> = BTreeMap<String, (Digest, Result<T, Refusal>)>;
 
-/// A directory as it is read: what a file declares is kept for as long as its content stays the same.
+/// A directory of server files. The result of parsing a file is kept for as long as the file's content stays the same.
 pub struct Directory {
     path: PathBuf,
-    most_bytes: u64,
-    files: Made<Arc<SetFile>>,
-    manifest: Made<Manifest>,
+    max_bytes: u64,
+    files: ParseCache<Arc<SetFile>>,
+    manifest: ParseCache<Manifest>,
 }
 
-/// Why a file has no content.
+/// Returns the reason to refuse a file that can't be read.
 fn unreadable(error: &io::Error) -> Reason {
     Reason::Unreadable(error.to_string())
 }
 
 impl Directory {
-    /// A directory that was not read yet.
-    pub fn new(path: impl Into<PathBuf>, most_bytes: u64) -> Self {
+    /// Creates a directory that has not been read yet. Files of more than `max_bytes` bytes are refused.
+    pub fn new(path: impl Into<PathBuf>, max_bytes: u64) -> Self {
         let (files, manifest) = (BTreeMap::new(), BTreeMap::new());
-        Directory { path: path.into(), most_bytes, files, manifest }
+        Directory { path: path.into(), max_bytes, files, manifest }
     }
 
-    /// Reads the directory.
+    /// Reads the directory and parses the files that have changed since the last scan.
     pub fn scan(&mut self) -> Scan {
         let mut scan = Scan::default();
         let names = match self.names() {
@@ -63,12 +63,12 @@
         };
         self.files.retain(|name, _| names.contains(name));
         for name in names {
-            let source = read(&self.path.join(&name), &name, self.most_bytes);
+            let source = read(&self.path.join(&name), &name, self.max_bytes);
             if name == MANIFEST {
-                scan.manifest = Some(recall(&mut self.manifest, name, source, servers::parse_manifest));
+                scan.manifest = Some(parse_cached(&mut self.manifest, name, source, servers::parse_manifest));
             } else {
                 let parse = |source: &Source| servers::parse(source).map(Arc::new);
-                scan.files.push(recall(&mut self.files, name, source, parse));
+                scan.files.push(parse_cached(&mut self.files, name, source, parse));
             }
         }
         scan
@@ -78,8 +78,8 @@
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.path)? {
             let name = entry?.file_name().to_string_lossy().into_owned();
-            // What begins with a dot is on its way: editors and copying programs write there first.
-            if Path::new(&name).extension().is_some_and(|e| e == ENDING) && !name.starts_with('.') {
+            // A name that begins with a dot is a file that is still being written, by an editor or a copying program.
+            if Path::new(&name).extension().is_some_and(|e| e == EXTENSION) && !name.starts_with('.') {
                 names.push(name);
             }
         }
@@ -87,87 +87,90 @@
         Ok(names)
     }
 
-    /// The device and inode that the path leads to, through symbolic links.
+    /// Returns the device and inode that the path leads to, through symbolic links.
     fn identity(&self) -> Option<(u64, u64)> {
         fs::metadata(&self.path).ok().map(|data| (data.dev(), data.ino()))
     }
 }
 
-/// Reads one file whole.
-pub fn read(path: &Path, name: &str, most_bytes: u64) -> Result<Source, Refusal> {
+/// Reads one whole file. A file of more than `max_bytes` bytes is refused.
+pub fn read(path: &Path, name: &str, max_bytes: u64) -> Result<Source, Refusal> {
     let refuse = |reason| Refusal::new(reason, Place::whole(name));
     let bytes = || -> io::Result<Vec<u8>> {
-        // A pipe would hold the thread up for good.
+        // Reading a pipe could block the thread for ever.
         if !fs::metadata(path)?.is_file() {
-            return Err(io::Error::other("it is no regular file"));
+            return Err(io::Error::other("it is not a regular file"));
         }
         let mut bytes = Vec::new();
-        File::open(path)?.take(most_bytes.saturating_add(1)).read_to_end(&mut bytes)?;
+        File::open(path)?.take(max_bytes.saturating_add(1)).read_to_end(&mut bytes)?;
         Ok(bytes)
     };
     let bytes = bytes().map_err(|error| refuse(unreadable(&error)))?;
-    if bytes.len() as u64 > most_bytes {
-        return Err(refuse(Reason::TooLarge(most_bytes)));
+    if bytes.len() as u64 > max_bytes {
+        return Err(refuse(Reason::TooLarge(max_bytes)));
     }
     let text = String::from_utf8(bytes).map_err(|_| refuse(Reason::NotUtf8))?;
     Ok(Source::new(name, text))
 }
 
-/// Parses a content that is new, and recalls what was made of one that is not.
-fn recall<T: Clone>(
-    known: &mut Made<T>,
+/// Parses a file, or returns the cached result if its content has not changed.
+fn parse_cached<T: Clone>(
+    cache: &mut ParseCache<T>,
     name: String,
     source: Result<Source, Refusal>,
     parse: impl Fn(&Source) -> Result<T, Refusal>,
 ) -> Result<T, Refusal> {
     let source = source?;
     let digest = seal::digest(source.text.as_bytes());
-    match known.get(&name) {
-        Some((same, parsed)) if *same == digest => parsed.clone(),
+    match cache.get(&name) {
+        Some((cached_digest, parsed)) if *cached_digest == digest => parsed.clone(),
         _ => {
             let parsed = parse(&source);
-            known.insert(name, (digest, parsed.clone()));
+            cache.insert(name, (digest, parsed.clone()));
             parsed
         }
     }
 }
 
-/// Watches a directory for as long as its list listens; what was scanned before is passed over.
-pub fn watch(watched: &Watched, directory: Directory, last: Scan, list: ListHandle) -> io::Result<()> {
+/// Watches a directory for as long as the list's actor runs, on a thread of its own. Only scans that differ from the
+/// one before are passed on; the first is compared with `last_scan`.
+pub fn watch(watched: &Watched, directory: Directory, last_scan: Scan, list: ListHandle) -> io::Result<()> {
     let poll = watched.poll;
     let thread = std::thread::Builder::new().name("birchspur-files".into());
-    thread.spawn(move || Eye::new(directory).run(poll, last, &list)).map(drop)
+    thread.spawn(move || DirectoryWatcher::new(directory).run(poll, last_scan, &list)).map(drop)
 }
 
-/// What hears the system's hints.
-struct Eye {
+/// Receives the system's hints, and reads the directory upon them.
+struct DirectoryWatcher {
     directory: Directory,
     hints: Receiver<()>,
-    tell: Sender<()>,
+    /// Kept here, and cloned for each new watcher.
+    hint_sender: Sender<()>,
     watcher: Option<RecommendedWatcher>,
-    seen: Option<(u64, u64)>,
+    /// Device and inode of the directory that is watched.
+    watched_identity: Option<(u64, u64)>,
 }
 
-impl Eye {
+impl DirectoryWatcher {
     fn new(directory: Directory) -> Self {
-        let (tell, hints) = channel();
-        Eye { directory, hints, tell, watcher: None, seen: None }
+        let (hint_sender, hints) = channel();
+        DirectoryWatcher { directory, hints, hint_sender, watcher: None, watched_identity: None }
     }
 
-    fn run(mut self, poll: Duration, mut last: Scan, list: &ListHandle) {
+    fn run(mut self, poll: Duration, mut last_scan: Scan, list: &ListHandle) {
         loop {
-            self.aim();
+            self.watch_current_directory();
             let scan = self.directory.scan();
-            if scan != last {
-                last = scan.clone();
+            if scan != last_scan {
+                last_scan = scan.clone();
                 if !list.send_from_thread(ListMessage::Scan(scan)) {
                     return;
                 }
             }
             match self.hints.recv_timeout(poll) {
-                Ok(()) => self.gather(),
+                Ok(()) => self.coalesce_hints(),
                 Err(RecvTimeoutError::Timeout) => {}
-                // The watcher has failed: the poll goes on alone.
+                // The hints' senders are gone, so only polling goes on.
                 Err(RecvTimeoutError::Disconnected) => std::thread::sleep(poll),
             }
             if list.0.is_closed() {
@@ -176,29 +179,30 @@
         }
     }
 
-    /// Takes the hints of one burst together.
-    fn gather(&self) {
-        let until = Instant::now() + GATHER_MOST;
-        while Instant::now() < until && self.hints.recv_timeout(GATHER).is_ok() {}
+    /// Waits for the end of a burst of hints, up to a limit.
+    fn coalesce_hints(&self) {
+        let until = Instant::now() + MAX_HINT_DELAY;
+        while Instant::now() < until && self.hints.recv_timeout(HINT_QUIET_PERIOD).is_ok() {}
     }
 
-    /// Watches the directory that the path leads to now; one that was put in its place has another identity.
-    fn aim(&mut self) {
+    /// Makes sure that the directory to which the path leads now is the one that is watched. A directory that has been
+    /// put in place of another is known by its device and inode.
+    fn watch_current_directory(&mut self) {
         let identity = self.directory.identity();
-        if identity == self.seen && (self.watcher.is_some() || identity.is_none()) {
+        if identity == self.watched_identity && (self.watcher.is_some() || identity.is_none()) {
             return;
         }
-        self.seen = identity;
-        let tell = self.tell.clone();
+        self.watched_identity = identity;
+        let hint_sender = self.hint_sender.clone();
         let hint = move |event: notify::Result<notify::Event>| {
-            // Reading makes events of its own, which would never cease.
+            // Reading the directory causes access events, which would make it be read again without end.
             if event.is_ok_and(|event| !event.kind.is_access()) {
-                let _ = tell.send(());
+                let _ = hint_sender.send(());
             }
         };
         self.watcher = notify::recommended_watcher(hint).ok().and_then(|mut watcher| {
             watcher.watch(&self.directory.path, RecursiveMode::NonRecursive).ok()?;
-            // A directory that is put in place of another shows in its parent.
+            // When a directory is put in place of another, the event comes from their parent directory.
             let parent = self.directory.path.parent().filter(|path| !path.as_os_str().is_empty());
             if let Some(parent) = parent {
                 let _ = watcher.watch(parent, RecursiveMode::NonRecursive);
@@ -206,7 +210,7 @@
             Some(watcher)
         });
         if self.watcher.is_none() && identity.is_some() {
-            tracing::warn!(path = %self.directory.path.display(), "no hints of changes: only the poll sees them");
+            tracing::warn!(path = %self.directory.path.display(), "the directory can't be watched for changes; they are found by polling only");
         }
     }
 }
--- a/src/transport/list/mod.rs
+++ b/src/transport/list/mod.rs
@@ -1,5 +1,5 @@
-//! The actor of a pool's list: it owns the membership, hears discovery and the watched files, keeps the last
-//! good set, and hands generations to the module's actor.
+//! The actor of a pool's list of servers. It owns the membership, takes in discovery's lists and the scans of the
+//! watched files, saves the last good set, and publishes generations to the hub.
 
 pub mod discovery;
 pub mod files;
@@ -22,40 +22,41 @@
 use crate::protocol::settings::Names;
 use crate::routing::PoolId;
 
-/// News that may wait for a list.
-const MAILBOX: usize = 16;
+/// Capacity of the list's inbox, in messages.
+const MAILBOX_CAPACITY: usize = 16;
 
-/// What a list is told.
+/// A message to a list's actor.
 pub enum ListMessage {
-    /// Discovery has answered.
+    /// Discovery has answered with a list.
     Discovery(ListScope, List),
-    /// The directory of files was read.
+    /// The directory of server files has been read.
     Scan(Scan),
 }
 
-/// The way to a list's actor.
+/// A handle to a list's actor, through which messages are sent to it.
 #[derive(Clone)]
 pub struct ListHandle(mpsc::Sender<ListMessage>);
 
 impl ListHandle {
-    /// Tells the list something.
-    pub async fn send(&self, news: ListMessage) {
-        // It is gone only when the program ends.
-        let _ = self.0.send(news).await;
+    /// Sends a message, and waits while the inbox is full.
+    pub async fn send(&self, message: ListMessage) {
+        // Sending fails only when the program ends.
+        let _ = self.0.send(message).await;
     }
 
-    /// The same from a thread of its own; false when nobody listens any more.
-    pub fn send_from_thread(&self, news: ListMessage) -> bool {
-        self.0.blocking_send(news).is_ok()
+    /// Sends a message from a thread outside the runtime, and blocks while the inbox is full. Returns false if the
+    /// actor has ended.
+    pub fn send_from_thread(&self, message: ListMessage) -> bool {
+        self.0.blocking_send(message).is_ok()
     }
 }
 
-/// Tries a set of files: what speaks against it, or nothing. It takes its time, and ends early once the second
-/// argument says no; what it says then does not count.
+/// Tries a set of files and returns the reasons to refuse it, none if it is good. This may take long. It ends early
+/// once the function given as second argument returns false; the result is ignored in that case.
 pub type TrialRunner = Arc<dyn Fn(&Files, &dyn Fn() -> bool) -> Vec<Refusal> + Send + Sync>;
 
-/// A trial that runs on a thread of its own.
-struct Running {
+/// A trial of a set that is running on a thread of its own.
+struct RunningTrial {
     number: u64,
     stop: Arc<AtomicBool>,
     thread: JoinHandle<Vec<Refusal>>,
@@ -64,129 +65,142 @@
 /// The actor of one pool's list.
 pub struct ListActor {
     pool: PoolId,
-    /// None only while it works beside the routing thread.
+    /// `None` only while it is at work on a thread of its own.
     membership: Option<Membership>,
     names: Names,
     clock: Clock,
     hub: Hub,
     inbox: mpsc::Receiver<ListMessage>,
     state: Option<PathBuf>,
-    /// News that can make somebody a member has come.
-    heard: watch::Sender<bool>,
+    /// True once servers can be known: discovery has answered or, where files are set up, a set is in service.
+    initialised: watch::Sender<bool>,
     by_files: bool,
     guard: Option<TrialRunner>,
-    running: Option<Running>,
+    /// The trial that is running.
+    trial: Option<RunningTrial>,
 }
 
-/// What a list's actor stands on.
+/// The parts from which a list's actor is made.
 pub struct ListParts {
-    /// Whose list.
+    /// The pool whose list it is.
     pub pool: PoolId,
-    /// Who is a member.
+    /// The state machine that decides which servers are members.
     pub membership: Membership,
     /// The names of the settings.
     pub names: Names,
-    /// The clock, also for when servers started.
+    /// The clock, which also maps the start times of servers.
     pub clock: Clock,
-    /// Where generations go.
+    /// The hub, to which generations are published.
     pub hub: Hub,
-    /// Where the last good set is kept.
+    /// The state directory, in which the last good set is saved.
     pub state: Option<PathBuf>,
-    /// Files are set up, so that discovery's word alone makes nobody a member.
+    /// Server files are set up. A server that only discovery lists is not a member then.
     pub by_files: bool,
-    /// How sets are tried, where the membership's rules want that.
+    /// Tries new sets, where the membership's rules ask for trials.
     pub guard: Option<TrialRunner>,
 }
 
 impl ListActor {
-    /// The actor before it runs, the way to it, and whether it has heard of servers.
+    /// Creates the actor, a handle to it, and a receiver that becomes true once servers can be known: when discovery
+    /// has answered or, where files are set up, when a set is in service.
     pub fn new(parts: ListParts) -> (Self, ListHandle, watch::Receiver<bool>) {
-        let (sender, inbox) = mpsc::channel(MAILBOX);
-        let (heard, is_heard) = watch::channel(false);
+        let (sender, inbox) = mpsc::channel(MAILBOX_CAPACITY);
+        let (initialised, is_initialised) = watch::channel(false);
         let ListParts { pool, membership, names, clock, hub, state, by_files, guard } = parts;
         let membership = Some(membership);
-        let running = None;
-        let actor =
-            ListActor { pool, membership, names, clock, hub, inbox, state, heard, by_files, guard, running };
-        (actor, ListHandle(sender), is_heard)
+        let trial = None;
+        let actor = ListActor {
+            pool,
+            membership,
+            names,
+            clock,
+            hub,
+            inbox,
+            state,
+            initialised,
+            by_files,
+            guard,
+            trial,
+        };
+        (actor, ListHandle(sender), is_initialised)
     }
 
-    /// Whether a set of files is in service.
+    /// Returns true if a set of files is in service.
     pub fn has_accepted_set(&self) -> bool {
         self.membership.as_ref().is_some_and(|membership| !membership.accepted().is_empty())
     }
 
-    /// What of the files is refused at present.
+    /// Returns the present refusals of the files.
     pub fn refusals(&self) -> &[Refusal] {
         self.membership.as_ref().map_or(&[], Membership::refused)
     }
 
-    /// Hands on the list as it was known at the start, perhaps old.
+    /// Feeds the list that is known at the start, which may be old.
     pub async fn feed_known_list(&mut self, list: &List) {
-        let listed = self.listed(list);
+        let listed = self.to_listed(list);
         self.feed(Input::Discovery(ListScope::Cached, listed)).await;
     }
 
-    /// The same for servers that a document lists.
+    /// Feeds the servers that a document lists, in the same way.
     pub async fn feed_known_servers(&mut self, listed: Vec<Listed>) {
         self.feed(Input::Discovery(ListScope::Cached, listed)).await;
     }
 
-    /// Begins from the set that was kept.
+    /// Feeds the set that an earlier run saved, to begin from.
     pub async fn feed_saved_set(&mut self, generation: u64, files: Vec<SetFile>) {
         self.feed(Input::Saved(generation, files.into_iter().map(Arc::new).collect())).await;
     }
 
-    /// Takes a first scan, and waits for the trial of its set where there is one.
+    /// Feeds the first scan, and waits for the trial of its set if there is one.
     pub async fn feed_first_scan(&mut self, scan: Scan) {
         self.feed(Input::Scan(scan)).await;
-        while self.running.is_some() {
-            let due = self.due();
+        while self.trial.is_some() {
+            let next_due = self.next_due();
             tokio::select! {
-                (number, found) = ended(&mut self.running) => self.tried(number, found).await,
-                () = crate::transport::clock::sleep_until(due) => self.feed(Input::Tick).await,
+                (number, result) = trial_end(&mut self.trial) => self.finish_trial(number, result).await,
+                () = crate::transport::clock::sleep_until(next_due) => self.feed(Input::Tick).await,
             }
         }
     }
 
-    fn due(&self) -> Option<tokio::time::Instant> {
-        let due = self.membership.as_ref().and_then(Membership::next_due);
-        due.map(|at| self.clock.instant(at).into())
+    fn next_due(&self) -> Option<tokio::time::Instant> {
+        let next_due = self.membership.as_ref().and_then(Membership::next_due);
+        next_due.map(|at| self.clock.instant(at).into())
     }
 
-    async fn tried(&mut self, number: u64, found: Result<Vec<Refusal>, JoinError>) {
-        match found {
+    async fn finish_trial(&mut self, number: u64, result: Result<Vec<Refusal>, JoinError>) {
+        match result {
             Ok(refusals) => self.feed(Input::Tried(number, refusals)).await,
-            // It counts as one that does not end: the membership knows what follows.
-            Err(error) => tracing::error!(%error, "a trial of servers has broken off"),
+            // The membership treats it as a trial that does not end in time.
+            Err(error) => tracing::error!(%error, "the trial of a set of servers failed to run to its end"),
         }
     }
 
     /// Runs for as long as the program does.
     pub async fn run(mut self) {
         loop {
-            let due = self.due();
-            let news = tokio::select! {
-                (number, found) = ended(&mut self.running) => {
-                    self.tried(number, found).await;
+            let next_due = self.next_due();
+            let message = tokio::select! {
+                (number, result) = trial_end(&mut self.trial) => {
+                    self.finish_trial(number, result).await;
                     continue;
                 }
-                news = self.inbox.recv() => match news {
-                    Some(news) => Some(news),
-                    // Without discovery and files time alone goes on.
-                    None if due.is_some() => None,
+                message = self.inbox.recv() => match message {
+                    Some(message) => Some(message),
+                    // Without discovery and files, only the passing of time is left to handle.
+                    None if next_due.is_some() => None,
                     None => return,
                 },
-                () = crate::transport::clock::sleep_until(due) => None,
+                () = crate::transport::clock::sleep_until(next_due) => None,
             };
-            match news {
+            match message {
                 Some(ListMessage::Discovery(scope, list)) => {
                     if list.complete || !list.members.is_empty() {
-                        let listed = self.listed(&list);
+                        let listed = self.to_listed(&list);
                         self.feed(Input::Discovery(scope, listed)).await;
                     }
                     if !self.by_files {
-                        self.heard.send_replace(true);
+                        self.initialised.send_replace(true);
                     }
                 }
                 Some(ListMessage::Scan(scan)) => self.feed(Input::Scan(scan)).await,
@@ -196,8 +210,8 @@
         }
     }
 
-    /// Discovery's members; those that name what the settings don't know are passed over.
-    fn listed(&self, list: &List) -> Vec<Listed> {
+    /// Converts discovery's members. Members that name something that the settings don't have are left out.
+    fn to_listed(&self, list: &List) -> Vec<Listed> {
         let started = |ms| self.clock.at_unix_ms(ms);
         let listed = |member: &crate::protocol::platform::Member| {
             let entry = member.entry(&self.names, started)?;
@@ -210,18 +224,18 @@
         let Some(mut membership) = self.membership.take() else { return };
         let now = self.clock.now();
         let work = move || {
-            let mut out = Vec::new();
-            membership.handle(now, input, &mut out);
-            (membership, out)
+            let mut outputs = Vec::new();
+            membership.handle(now, input, &mut outputs);
+            (membership, outputs)
         };
-        // Thousands of servers take a while to check: routing does not wait for that.
-        let done = if self.by_files { tokio::task::spawn_blocking(work).await } else { Ok(work()) };
-        let (membership, out) = match done {
-            Ok(done) => done,
-            Err(error) => return tracing::error!(%error, "the list of servers stays as it is from now on"),
+        // Thousands of servers take a while to check, and routing must not wait for that.
+        let finished = if self.by_files { tokio::task::spawn_blocking(work).await } else { Ok(work()) };
+        let (membership, outputs) = match finished {
+            Ok(finished) => finished,
+            Err(error) => return tracing::error!(%error, "membership failed; the list no longer changes"),
         };
         self.membership = Some(membership);
-        for output in out {
+        for output in outputs {
             match output {
                 Output::Publish(generation) => {
                     tracing::info!(
@@ -240,28 +254,28 @@
                         target: "birchspur::membership",
                         generation = generation.number,
                         ready = ready().as_str(),
-                        "these take work"
+                        "servers ready for work"
                     );
                     self.hub.send(Message::List(self.pool, generation)).await;
                     if self.by_files && self.has_accepted_set() {
-                        self.heard.send_replace(true);
+                        self.initialised.send_replace(true);
                     }
                 }
                 Output::Save(generation) => {
                     if let Some(state) = self.state.clone() {
                         let kept = keep::snapshot(&generation);
-                        // Beside the runtime's thread: the disk may be slow, and routing does not wait for it.
+                        // On a thread of its own, as the disk may be slow and routing must not wait for it.
                         let saved = tokio::task::spawn_blocking(move || keep::save(&state, &kept)).await;
                         match saved {
                             Ok(Ok(())) => {}
-                            Ok(Err(error)) => tracing::warn!(%error, "the set of servers was not kept"),
-                            Err(error) => tracing::warn!(%error, "the set of servers was not kept"),
+                            Ok(Err(error)) => tracing::warn!(%error, "failed to save the set of servers"),
+                            Err(error) => tracing::warn!(%error, "failed to save the set of servers"),
                         }
                     }
                 }
-                // Nothing is wrong with it: it has to stand for a while.
+                // Nothing is wrong with the file: it has to stand unchanged for a while first.
                 Output::Refuse(refusal) if *refusal.reason == Reason::Resting => {
-                    tracing::info!(target: "birchspur::membership", pool = self.pool.0, "waits: {refusal}");
+                    tracing::info!(target: "birchspur::membership", pool = self.pool.0, "not yet in service: {refusal}");
                 }
                 Output::Refuse(refusal) => {
                     let place = &refusal.place;
@@ -271,7 +285,7 @@
                         file.name = %place.file,
                         file.line = place.line,
                         file.column = place.column,
-                        "not taken: {refusal}"
+                        "not taken into service: {refusal}"
                     );
                 }
                 Output::Warn(refusal) => {
@@ -283,31 +297,31 @@
                         let stopped = stop.clone();
                         let work = move || guard(&files, &|| !stopped.load(Ordering::Relaxed));
                         let thread = tokio::task::spawn_blocking(work);
-                        self.running = Some(Running { number, stop, thread });
+                        self.trial = Some(RunningTrial { number, stop, thread });
                     }
                 }
                 Output::StopTrial(number) => {
-                    if let Some(running) = self.running.take_if(|running| running.number == number) {
-                        running.stop.store(true, Ordering::Relaxed);
+                    if let Some(trial) = self.trial.take_if(|trial| trial.number == number) {
+                        trial.stop.store(true, Ordering::Relaxed);
                     }
                 }
                 Output::Settled => {
-                    tracing::info!(target: "birchspur::membership", pool = self.pool.0, "files are well again");
+                    tracing::info!(target: "birchspur::membership", pool = self.pool.0, "no server file is refused any more");
                 }
             }
         }
     }
 }
 
-/// The end of the trial that runs; it never comes where none does.
-async fn ended(running: &mut Option<Running>) -> (u64, Result<Vec<Refusal>, JoinError>) {
-    let Some(Running { number, thread, .. }) = running else { return std::future::pending().await };
-    let (number, found) = (*number, thread.await);
-    *running = None;
-    (number, found)
+/// Waits for the end of the running trial; never returns if there is none.
+async fn trial_end(trial: &mut Option<RunningTrial>) -> (u64, Result<Vec<Refusal>, JoinError>) {
+    let Some(RunningTrial { number, thread, .. }) = trial else { return std::future::pending().await };
+    let (number, result) = (*number, thread.await);
+    *trial = None;
+    (number, result)
 }
 
-/// How old a set is that was kept, as operators read it.
+/// Returns the age of a set that was saved at this Unix time, as text for operators.
 pub fn age(unix_s: u64) -> String {
     seconds(keep::unix_s().saturating_sub(unix_s).saturating_mul(1_000_000))
 }
--- a/tests/files.rs
+++ b/tests/files.rs
@@ -373,10 +373,10 @@
     assert!(refused(&folder).contains("a.kdl: can't be read"), "{}", refused(&folder));
     clear();
     fs::create_dir(&file).expect("a directory");
-    assert!(refused(&folder).contains("it is no regular file"));
+    assert!(refused(&folder).contains("it is not a regular file"));
     clear();
     let made = std::process::Command::new("mkfifo").arg(&file).status().expect("mkfifo runs");
-    assert!(made.success() && refused(&folder).contains("it is no regular file"));
+    assert!(made.success() && refused(&folder).contains("it is not a regular file"));
     clear();
     fs::write(&file, "// ".repeat(400)).expect("a file");
     assert!(refused(&folder).contains("is larger than 1000 bytes"));
