--- a/src/transport/peer/connector.rs
+++ b/src/transport/peer/connector.rs
@@ -1,4 +1,4 @@
-//! Connections to peers for hyper-util's client, and what is known of the bytes written to them.
+//! Connections to peers for hyper-util's client, which keep track of how far the request on them has been written.
 
 use std::future::Future;
 use std::io;
@@ -26,68 +26,72 @@
 use crate::protocol::settings::Links;
 use crate::routing::{ConnectionChoice, Evidence};
 
-/// Part of a server's idle limit after which a connection is no longer used: past the limit a request
-/// written to it would end as a reset. The pool closes what is no longer used once in such a span, so that
-/// under a half of the limit all are closed ahead of it.
-const IDLE_PART: f64 = 0.45;
-/// The most idle connections that are kept for one peer: idle ones must not use the budget up.
-const MOST_IDLE: usize = 20;
-
-/// Bytes read at once.
-const READ: usize = 8 * 1024;
-/// The largest head of an answer; what goes on beyond it is none.
-const MOST_HEAD: usize = 64 * 1024;
-/// A head that has begun and does not end within this does not end: its server has sent it at once.
-const HEAD_WITHIN: Duration = Duration::from_millis(400);
-/// After an answer a connection rests for this before it takes the next request: a second answer may come some
-/// milliseconds late, and would be taken for that to the next one.
+/// The fraction of a server's idle limit after which an idle connection is not used any more: past the limit, a request
+/// written to it would end in a reset. The pool looks for such connections only once in the same span, so the fraction
+/// is below one half for all of them to be closed before the limit.
+const IDLE_FRACTION: f64 = 0.45;
+/// The most idle connections that are kept for one peer, so that they don't use up the budget.
+const MAX_IDLE_PER_PEER: usize = 20;
+
+/// Most bytes that are read at once.
+const READ_SIZE: usize = 8 * 1024;
+/// Size limit of an answer's head, in bytes. Anything longer is not a valid head.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+/// How long the head of an answer may take once it has begun. Servers send a head at once, so one that is not complete
+/// by then never will be.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long a connection waits after an answer before the next request is written to it. A second answer to the first
+/// request may arrive some milliseconds late, and would be taken for the answer to the next one.
 pub const REUSE_DELAY: Duration = Duration::from_millis(10);
 
-/// The client for peers. It never sends anything again by itself.
+/// The HTTP client for peers. It never retries a request by itself.
 pub type PeerClient = Client<Connector, TrackedBody>;
 
-/// Makes a client that keeps connections.
+/// Creates a client that keeps idle connections for reuse.
 pub fn client(links: Links, budget: ConnectionBudget) -> PeerClient {
-    client_with(links, budget, MOST_IDLE)
+    client_with_max_idle(links, budget, MAX_IDLE_PER_PEER)
 }
 
-/// The clients for the servers of a pool.
+/// The HTTP clients for the servers of a pool.
 #[derive(Clone)]
 pub struct Clients {
-    keeping: PeerClient,
-    dialling: PeerClient,
+    pooled: PeerClient,
+    unpooled: PeerClient,
 }
 
 impl Clients {
-    /// Makes them. All connections draw on the same budget.
+    /// Creates the clients. All their connections draw on the same budget.
     pub fn new(links: Links, budget: &ConnectionBudget) -> Self {
-        Clients { keeping: client(links, budget.clone()), dialling: client_with(links, budget.clone(), 0) }
+        Clients {
+            pooled: client(links, budget.clone()),
+            unpooled: client_with_max_idle(links, budget.clone(), 0),
+        }
     }
 
-    /// The client whose connections are of this choice.
+    /// Returns the client that uses the connections of this choice.
     pub fn for_connection(&self, connection: ConnectionChoice) -> &PeerClient {
         match connection {
-            ConnectionChoice::Any => &self.keeping,
-            ConnectionChoice::New => &self.dialling,
+            ConnectionChoice::Any => &self.pooled,
+            ConnectionChoice::New => &self.unpooled,
         }
     }
 }
 
-fn client_with(links: Links, budget: ConnectionBudget, most_idle: usize) -> PeerClient {
+fn client_with_max_idle(links: Links, budget: ConnectionBudget, max_idle: usize) -> PeerClient {
     Client::builder(TokioExecutor::new())
         .retry_canceled_requests(false)
-        .pool_idle_timeout(Duration::from_micros((links.idle as f64 * IDLE_PART) as u64))
-        .pool_max_idle_per_host(most_idle)
-        .http1_max_buf_size(MOST_HEAD)
+        .pool_idle_timeout(Duration::from_micros((links.idle as f64 * IDLE_FRACTION) as u64))
+        .pool_max_idle_per_host(max_idle)
+        .http1_max_buf_size(MAX_HEAD_BYTES)
         .pool_timer(TokioTimer::new())
         .timer(TokioTimer::new())
-        .build(Connector { within: Duration::from_micros(links.connect), budget })
+        .build(Connector { connect_timeout: Duration::from_micros(links.connect), budget })
 }
 
-/// Opens connections within the time that the settings give and the descriptors that the budget has.
+/// Opens connections, within the connect timeout of the settings and the descriptor budget.
 #[derive(Clone)]
 pub struct Connector {
-    within: Duration,
+    connect_timeout: Duration,
     budget: ConnectionBudget,
 }
 
@@ -100,19 +104,19 @@
         Poll::Ready(Ok(()))
     }
 
-    fn call(&mut self, to: Uri) -> Self::Future {
-        let (within, budget) = (self.within, self.budget.clone());
+    fn call(&mut self, uri: Uri) -> Self::Future {
+        let (connect_timeout, budget) = (self.connect_timeout, self.budget.clone());
         Box::pin(async move {
-            let authority = to.authority().ok_or_else(|| io::Error::other("no address"))?;
+            let authority = uri.authority().ok_or_else(|| io::Error::other("the URI has no authority"))?;
             let connect = async {
                 let permit = budget.acquire().await?;
                 dial(authority.as_str()).await.map(|stream| (permit, stream))
             };
-            let (permit, stream) = tokio::time::timeout(within, connect).await??;
+            let (permit, stream) = tokio::time::timeout(connect_timeout, connect).await??;
             Ok(PeerConnection {
                 io: TokioIo::new(stream),
-                turn: Turn::Asking,
-                last: [0; 4],
+                exchange: Exchange::Writing,
+                last_bytes: [0; 4],
                 progress: Arc::new(Progress::new(budget.idle_tracker())),
                 _permit: permit,
             })
@@ -120,85 +124,86 @@
     }
 }
 
-/// Connects to the first address that answers.
+/// Connects to the first address of the host that accepts; returns the last error if none does.
 async fn dial(authority: &str) -> io::Result<TcpStream> {
-    let mut last = io::Error::other("no address");
+    let mut last_error = io::Error::other("the host has no address");
     for address in lookup_host(authority).await? {
         match dial_address(address).await {
             Ok(stream) => return Ok(stream),
-            Err(error) => last = error,
+            Err(error) => last_error = error,
         }
     }
-    Err(last)
+    Err(last_error)
 }
 
 async fn dial_address(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // Small writes go out at once.
+    // Send small writes at once.
     socket.set_nodelay(true)?;
     socket.connect(address).await
 }
 
-/// What is called when the last byte of a request has been written.
+/// A callback for when the last byte of a request has been written.
 pub type OnWritten = Box<dyn FnOnce() + Send>;
 
-/// How far the request that is on a connection has got.
+/// How far the request on a connection has got.
 struct Progress {
-    /// Who is told, once, that all of it has been written; there from when its last byte is in the connection's buffer.
-    tell: Mutex<Option<OnWritten>>,
-    /// The last bytes that came do not end a head.
-    amid: AtomicBool,
-    /// Which request has the connection, as it was handed over last; 0 before the first.
-    carries: AtomicU64,
-    /// Which one has been given up: nothing more of it may come to the server.
-    given_up: AtomicU64,
-    idleness: IdleTracker,
+    /// Called once all of the request has been written. Set as soon as its last byte is in the connection's buffer.
+    on_written: Mutex<Option<OnWritten>>,
+    /// Bytes have arrived, and the last of them don't end a head.
+    in_head: AtomicBool,
+    /// The serial number of the request that was handed over to the connection last; 0 before the first.
+    current_serial: AtomicU64,
+    /// The serial number of the request that has been given up, of which nothing more may reach the server.
+    given_up_serial: AtomicU64,
+    idle_tracker: IdleTracker,
 }
 
 impl Progress {
-    fn new(idleness: IdleTracker) -> Self {
+    fn new(idle_tracker: IdleTracker) -> Self {
         Progress {
-            tell: Mutex::default(),
-            amid: AtomicBool::default(),
-            carries: AtomicU64::default(),
-            given_up: AtomicU64::default(),
-            idleness,
+            on_written: Mutex::default(),
+            in_head: AtomicBool::default(),
+            current_serial: AtomicU64::default(),
+            given_up_serial: AtomicU64::default(),
+            idle_tracker,
         }
     }
 
-    fn told(&self) -> MutexGuard<'_, Option<OnWritten>> {
-        self.tell.lock().unwrap_or_else(PoisonError::into_inner)
+    fn on_written(&self) -> MutexGuard<'_, Option<OnWritten>> {
+        self.on_written.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether the connection was handed this request last.
-    fn carries(&self, serial: u64) -> bool {
-        self.carries.load(Ordering::Relaxed) == serial
+    /// Returns true if this request was handed over to the connection last.
+    fn is_current(&self, serial: u64) -> bool {
+        self.current_serial.load(Ordering::Relaxed) == serial
     }
 
-    /// Whether nobody waits for the request that it carries any more.
-    fn given_up(&self) -> bool {
-        let given_up = self.given_up.load(Ordering::Relaxed);
-        given_up > 0 && given_up == self.carries.load(Ordering::Relaxed)
+    /// Returns true if the request on the connection has been given up.
+    fn is_given_up(&self) -> bool {
+        let given_up_serial = self.given_up_serial.load(Ordering::Relaxed);
+        given_up_serial > 0 && given_up_serial == self.current_serial.load(Ordering::Relaxed)
     }
 }
 
-/// Whose turn it is on a connection.
-enum Turn {
-    /// A request is being written.
-    Asking,
-    /// It is written whole.
-    Asked,
-    /// Bytes of its answer have come, the last ones then.
-    Answered(Instant),
-    /// The next request waits for the end of the rest.
-    Resting(Pin<Box<Sleep>>),
+/// The state of the exchange of a request and its answer on a connection.
+enum Exchange {
+    /// A request is being written, or the connection is new.
+    Writing,
+    /// All of the request has been written.
+    Written,
+    /// Bytes of the answer have arrived, the last of them at this instant.
+    Answering(Instant),
+    /// The next request waits until the delay after the answer is over.
+    AwaitingReuse(Pin<Box<Sleep>>),
 }
 
 /// A connection to a peer.
 pub struct PeerConnection {
     io: TokioIo<TcpStream>,
-    turn: Turn,
-    last: [u8; 4],
+    exchange: Exchange,
+    /// The last bytes read, by which the end of a head is recognised.
+    last_bytes: [u8; 4],
     progress: Arc<Progress>,
     _permit: OwnedSemaphorePermit,
 }
@@ -210,44 +215,46 @@
 }
 
 impl PeerConnection {
-    /// Ready once a request may be written: after the rest of the answer before it, if nothing has come since.
-    fn poll_turn(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // hyper would write what it has buffered before it closes, also long after, when the other side reads again.
-        if self.progress.given_up() {
-            return Poll::Ready(Err(io::Error::new(io::ErrorKind::ConnectionAborted, "given up")));
+    /// Ready once a request may be written: when the delay after the last answer is over and nothing has arrived since.
+    fn poll_write_ready(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        // hyper would write what it has buffered before it closes the connection, even much later, when the server
+        // reads again.
+        if self.progress.is_given_up() {
+            return Poll::Ready(Err(io::Error::new(io::ErrorKind::ConnectionAborted, "request given up")));
         }
-        match &mut self.turn {
-            Turn::Asking | Turn::Asked => {}
-            Turn::Answered(at) => {
-                let mut rest = Box::pin(sleep_until(*at + REUSE_DELAY));
-                let rested = rest.as_mut().poll(cx);
-                self.turn = Turn::Resting(rest);
-                ready!(rested);
-                self.expect_silence()?;
+        match &mut self.exchange {
+            Exchange::Writing | Exchange::Written => {}
+            Exchange::Answering(last_byte) => {
+                let mut delay = Box::pin(sleep_until(*last_byte + REUSE_DELAY));
+                let waited = delay.as_mut().poll(cx);
+                self.exchange = Exchange::AwaitingReuse(delay);
+                ready!(waited);
+                self.check_nothing_received()?;
             }
-            Turn::Resting(rest) => {
-                ready!(rest.as_mut().poll(cx));
-                self.expect_silence()?;
+            Exchange::AwaitingReuse(delay) => {
+                ready!(delay.as_mut().poll(cx));
+                self.check_nothing_received()?;
             }
         }
-        self.turn = Turn::Asking;
+        self.exchange = Exchange::Writing;
         Poll::Ready(Ok(()))
     }
 
-    /// What the runtime has not heard of yet counts, too: a connection on which anything has come is at its end.
-    fn expect_silence(&mut self) -> io::Result<()> {
-        self.progress.amid.store(false, Ordering::Relaxed);
+    /// Fails if anything has arrived on the connection, which can't be used any more then. This reads from the socket
+    /// itself, as the runtime may not have noticed the latest bytes yet.
+    fn check_nothing_received(&mut self) -> io::Result<()> {
+        self.progress.in_head.store(false, Ordering::Relaxed);
         let socket = SockRef::from(self.io.inner());
         match io::Read::read(&mut &*socket, &mut [0]) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(()),
-            _ => Err(unasked()),
+            _ => Err(unsolicited_answer()),
         }
     }
 }
 
-/// An answer that no request on its connection has asked for.
-fn unasked() -> io::Error {
-    io::Error::new(io::ErrorKind::ConnectionAborted, "an answer to no request")
+/// The error for an answer that no request on its connection has asked for.
+fn unsolicited_answer() -> io::Error {
+    io::Error::new(io::ErrorKind::ConnectionAborted, "the server sent an answer to no request")
 }
 
 impl Read for PeerConnection {
@@ -256,34 +263,37 @@
         cx: &mut Context<'_>,
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let link = &mut *self;
-        if link.progress.idleness.must_close(cx) {
+        let connection = &mut *self;
+        if connection.progress.idle_tracker.must_close(cx) {
             return Poll::Ready(Ok(()));
         }
-        let mut space = [0; READ];
-        let most = buf.remaining().min(READ);
-        let mut part = ReadBuf::new(&mut space[..most]);
-        ready!(Pin::new(link.io.inner_mut()).poll_read(cx, &mut part))?;
-        if !part.filled().is_empty() {
-            match link.turn {
-                Turn::Resting(_) => return Poll::Ready(Err(unasked())),
-                Turn::Asked | Turn::Answered(_) => link.turn = Turn::Answered(Instant::now()),
-                Turn::Asking => {}
+        let mut buffer = [0; READ_SIZE];
+        let limit = buf.remaining().min(READ_SIZE);
+        let mut received = ReadBuf::new(&mut buffer[..limit]);
+        ready!(Pin::new(connection.io.inner_mut()).poll_read(cx, &mut received))?;
+        if !received.filled().is_empty() {
+            match connection.exchange {
+                Exchange::AwaitingReuse(_) => return Poll::Ready(Err(unsolicited_answer())),
+                Exchange::Written | Exchange::Answering(_) => {
+                    connection.exchange = Exchange::Answering(Instant::now())
+                }
+                Exchange::Writing => {}
             }
         }
-        for byte in part.filled().iter().rev().take(4).rev() {
-            link.last = [link.last[1], link.last[2], link.last[3], *byte];
+        for byte in received.filled().iter().rev().take(4).rev() {
+            connection.last_bytes =
+                [connection.last_bytes[1], connection.last_bytes[2], connection.last_bytes[3], *byte];
         }
-        let amid = !part.filled().is_empty() && link.last != *b"\r\n\r\n";
-        link.progress.amid.store(amid, Ordering::Relaxed);
-        buf.put_slice(part.filled());
+        let in_head = !received.filled().is_empty() && connection.last_bytes != *b"\r\n\r\n";
+        connection.progress.in_head.store(in_head, Ordering::Relaxed);
+        buf.put_slice(received.filled());
         Poll::Ready(Ok(()))
     }
 }
 
 impl Write for PeerConnection {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        ready!(self.poll_turn(cx))?;
+        ready!(self.poll_write_ready(cx))?;
         Pin::new(&mut self.io).poll_write(cx, buf)
     }
 
@@ -292,7 +302,7 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        ready!(self.poll_turn(cx))?;
+        ready!(self.poll_write_ready(cx))?;
         Pin::new(&mut self.io).poll_write_vectored(cx, bufs)
     }
 
@@ -302,18 +312,18 @@
 
     /// hyper flushes the socket only once its own buffer is empty.
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if matches!(self.turn, Turn::Asking) {
-            self.turn = Turn::Asked;
+        if matches!(self.exchange, Exchange::Writing) {
+            self.exchange = Exchange::Written;
         }
-        let tell = self.progress.told().take();
-        if let Some(tell) = tell {
-            tell();
+        let on_written = self.progress.on_written().take();
+        if let Some(on_written) = on_written {
+            on_written();
         }
         Pin::new(&mut self.io).poll_flush(cx)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.progress.given_up() {
+        if self.progress.is_given_up() {
             return Poll::Ready(Ok(()));
         }
         Pin::new(&mut self.io).poll_shutdown(cx)
@@ -321,60 +331,65 @@
 }
 
 impl Drop for PeerConnection {
-    /// The system would go on sending what a silent server has not acknowledged, also once a cut network is back, and
-    /// the request would run then. A reset drops it.
+    /// Resets the connection if its request has been given up. Otherwise the system would go on sending what a silent
+    /// server has not acknowledged, even after a network failure has ended, and the request would run then.
     fn drop(&mut self) {
-        self.progress.idleness.mark_busy();
-        if self.progress.given_up() {
+        self.progress.idle_tracker.mark_busy();
+        if self.progress.is_given_up() {
             let _ = SockRef::from(self.io.inner()).set_linger(Some(Duration::ZERO));
         }
     }
 }
 
-/// A body that marks on its connection when it has been handed over.
+/// A request's body that records on its connection when it has been handed over.
 pub struct TrackedBody {
     body: Option<Bytes>,
-    link: Option<CaptureConnection>,
+    connection: Option<CaptureConnection>,
     serial: u64,
-    /// Who is to be told that it has been written, until it is handed over.
-    tell: Mutex<Option<OnWritten>>,
+    /// The callback for when the request has been written; kept here until the body is handed over.
+    on_written: Mutex<Option<OnWritten>>,
 }
 
 /// The serial number of the next request.
-static SERIAL: AtomicU64 = AtomicU64::new(1);
+static NEXT_SERIAL: AtomicU64 = AtomicU64::new(1);
 
 impl TrackedBody {
-    /// An empty body, whose fate does not matter.
+    /// Creates an empty body that is not tracked.
     pub fn empty() -> Self {
-        TrackedBody { body: None, link: None, serial: 0, tell: Mutex::default() }
+        TrackedBody { body: None, connection: None, serial: 0, on_written: Mutex::default() }
     }
 
-    /// Gives a request its body, what is called when the last byte of that is written, and what will tell its fate.
+    /// Attaches a body to a request, and returns the request with a tracker that reports how far it gets. The callback
+    /// is called when the last byte of the request has been written.
     pub fn attach(
         mut head: http::Request<()>,
         body: Bytes,
-        tell: OnWritten,
+        on_written: OnWritten,
     ) -> (http::Request<TrackedBody>, RequestTracker) {
-        let (link, written) = (capture_connection(&mut head), Arc::<AtomicBool>::default());
-        let mark = written.clone();
-        let tell: OnWritten = Box::new(move || {
-            mark.store(true, Ordering::Relaxed);
-            tell();
+        let (connection, written) = (capture_connection(&mut head), Arc::<AtomicBool>::default());
+        let mark_written = written.clone();
+        let on_written: OnWritten = Box::new(move || {
+            mark_written.store(true, Ordering::Relaxed);
+            on_written();
         });
-        let serial = SERIAL.fetch_add(1, Ordering::Relaxed);
-        let body =
-            TrackedBody { body: Some(body), link: Some(link.clone()), serial, tell: Mutex::new(Some(tell)) };
-        (head.map(|()| body), RequestTracker { link, serial, written })
+        let serial = NEXT_SERIAL.fetch_add(1, Ordering::Relaxed);
+        let body = TrackedBody {
+            body: Some(body),
+            connection: Some(connection.clone()),
+            serial,
+            on_written: Mutex::new(Some(on_written)),
+        };
+        (head.map(|()| body), RequestTracker { connection, serial, written })
     }
 
-    /// From now on all of the request stands in the connection's buffer.
+    /// Records that all of the request is in the connection's buffer from now on.
     fn hand_over(&self) {
-        let Some(progress) = self.link.as_ref().and_then(progress) else { return };
-        if let Some(tell) = self.tell.lock().unwrap_or_else(PoisonError::into_inner).take() {
-            progress.amid.store(false, Ordering::Relaxed);
-            progress.idleness.mark_busy();
-            progress.carries.store(self.serial, Ordering::Relaxed);
-            *progress.told() = Some(tell);
+        let Some(progress) = self.connection.as_ref().and_then(progress_of) else { return };
+        if let Some(on_written) = self.on_written.lock().unwrap_or_else(PoisonError::into_inner).take() {
+            progress.in_head.store(false, Ordering::Relaxed);
+            progress.idle_tracker.mark_busy();
+            progress.current_serial.store(self.serial, Ordering::Relaxed);
+            *progress.on_written() = Some(on_written);
         }
     }
 }
@@ -392,7 +407,7 @@
         Poll::Ready(Some(Ok(Frame::data(body))))
     }
 
-    /// hyper asks this of an empty body, and nothing more, as it puts the head into its buffer.
+    /// Of an empty body hyper calls only this, when it puts the head into its buffer, so it counts as the hand-over.
     fn is_end_stream(&self) -> bool {
         if self.body.as_ref().is_some_and(Bytes::is_empty) {
             self.hand_over();
@@ -405,15 +420,15 @@
     }
 }
 
-fn progress(link: &CaptureConnection) -> Option<Arc<Progress>> {
+fn progress_of(connection: &CaptureConnection) -> Option<Arc<Progress>> {
     let mut extras = http::Extensions::new();
-    link.connection_metadata().as_ref()?.get_extras(&mut extras);
+    connection.connection_metadata().as_ref()?.get_extras(&mut extras);
     extras.get::<Arc<Progress>>().cloned()
 }
 
-/// Tells how far a request got once it has failed. Whoever drops it gives up what has not been written by then.
+/// Reports how far a request has got. Dropping it gives the request up if it has not been written by then.
 pub struct RequestTracker {
-    link: CaptureConnection,
+    connection: CaptureConnection,
     serial: u64,
     written: Arc<AtomicBool>,
 }
@@ -422,43 +437,47 @@
     fn drop(&mut self) {
         if !self.written.load(Ordering::Relaxed) {
             self.give_up();
-        } else if let Some(progress) = progress(&self.link).filter(|progress| progress.carries(self.serial)) {
-            progress.idleness.mark_idle();
+        } else if let Some(progress) =
+            progress_of(&self.connection).filter(|progress| progress.is_current(self.serial))
+        {
+            progress.idle_tracker.mark_idle();
         }
     }
 }
 
 impl RequestTracker {
-    /// How far the request is known to have got on its way. What its server has said of it is not known here.
+    /// Returns how far the request is known to have got by what was written. The server's answer is not considered here.
     pub fn evidence(&self) -> Evidence {
-        match self.link.connection_metadata().is_some() {
+        match self.connection.connection_metadata().is_some() {
             _ if self.written.load(Ordering::Relaxed) => Evidence::Written,
             true => Evidence::Connected,
             false => Evidence::Decided,
         }
     }
 
-    /// Whether the last byte of the request was written before this error: only then may it have run.
+    /// Returns true if the request may have run: if its last byte was written before this error.
     pub fn may_have_run(&self, error: &Error) -> bool {
         !error.is_connect() && self.evidence().may_have_arrived()
     }
 
-    /// Has nothing more of the request come to its server: its connection writes no more, and is reset as it closes.
-    /// Where the connection has gone on to another request, that one is left alone.
+    /// Makes sure that nothing more of the request reaches its server: its connection writes no more, and is reset when
+    /// it closes. If the connection already carries another request, that one is not affected.
     pub fn give_up(&self) {
-        if let Some(progress) = progress(&self.link) {
-            progress.given_up.store(self.serial, Ordering::Relaxed);
+        if let Some(progress) = progress_of(&self.connection) {
+            progress.given_up_serial.store(self.serial, Ordering::Relaxed);
         }
     }
 
-    /// Ends when a head has begun and does not go on to its end. Answers ahead (1xx) are heads of their own.
+    /// Returns once the head of an answer has begun and does not end in time. Interim answers (1xx) have heads of their
+    /// own.
     pub async fn stalled_head(&self) {
-        let amid = || progress(&self.link).is_some_and(|progress| progress.amid.load(Ordering::Relaxed));
+        let in_head =
+            || progress_of(&self.connection).is_some_and(|progress| progress.in_head.load(Ordering::Relaxed));
         loop {
-            tokio::time::sleep(HEAD_WITHIN / 2).await;
-            if amid() {
-                tokio::time::sleep(HEAD_WITHIN / 2).await;
-                if amid() {
+            tokio::time::sleep(HEAD_TIMEOUT / 2).await;
+            if in_head() {
+                tokio::time::sleep(HEAD_TIMEOUT / 2).await;
+                if in_head() {
                     return;
                 }
             }
@@ -466,7 +485,8 @@
     }
 }
 
-/// Whether what came can't be read, rather than broke off: that says nothing of the server's health.
+/// Returns true if the answer can't be parsed, as opposed to a connection that broke. Such an answer says nothing about
+/// the server's health.
 pub fn is_unreadable(error: &(dyn std::error::Error + 'static)) -> bool {
     std::iter::successors(Some(error), |error| error.source()).any(|error| {
         let http = error.downcast_ref::<hyper::Error>().is_some_and(hyper::Error::is_parse);
--- a/src/transport/peer/idle.rs
+++ b/src/transport/peer/idle.rs
@@ -1,4 +1,5 @@
-//! The descriptors that connections to peers may use, and the idle connections that give theirs up for a new one.
+//! The descriptor budget of connections to peers. When it is used up, the connection that has been idle for longest is
+//! closed to make room for a new one.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -9,7 +10,7 @@
 use futures_util::task::AtomicWaker;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// What connections to peers may use, over all pools.
+/// The descriptors that connections to peers may use, over all pools.
 #[derive(Clone, Debug)]
 pub struct ConnectionBudget {
     permits: Arc<Semaphore>,
@@ -17,37 +18,40 @@
 }
 
 impl ConnectionBudget {
-    /// A budget of so many connections.
+    /// Creates a budget of this number of connections.
     pub fn new(connections: usize) -> Self {
         Self::with_permits(Arc::new(Semaphore::new(connections)))
     }
 
-    /// A budget that shares its permits with others.
+    /// Creates a budget that draws on permits which others may use as well.
     pub fn with_permits(permits: Arc<Semaphore>) -> Self {
         ConnectionBudget { permits, idle: Arc::default() }
     }
 
-    /// A permit for a connection. If none is left, the connection that has been idle for longest is closed for it.
+    /// Acquires the permit for a connection. If none is left, closes the connection that has been idle for longest and
+    /// waits for its permit; fails if no connection is idle.
     pub async fn acquire(&self) -> io::Result<OwnedSemaphorePermit> {
         let permits = self.permits.clone();
         match permits.clone().try_acquire_owned() {
             Ok(permit) => Ok(permit),
-            Err(error) if !self.idle.close_longest() => Err(io::Error::other(error)),
+            Err(error) if !self.idle.close_longest_idle() => Err(io::Error::other(error)),
             Err(_) => permits.acquire_owned().await.map_err(io::Error::other),
         }
     }
 
-    /// How a new connection tells that it is idle.
+    /// Returns the tracker by which a new connection reports when it is idle.
     pub fn idle_tracker(&self) -> IdleTracker {
-        IdleTracker { connections: self.idle.clone(), since: AtomicU64::new(BUSY), close: Arc::default() }
+        IdleTracker { connections: self.idle.clone(), position: AtomicU64::new(BUSY), close: Arc::default() }
     }
 }
 
-/// The connections that are idle, the one that has been so for longest first.
+/// The idle connections.
 #[derive(Debug, Default)]
 struct IdleConnections {
+    /// By position, so that the connection that has been idle for longest is first.
     idle: Mutex<BTreeMap<u64, Arc<CloseSignal>>>,
-    last: AtomicU64,
+    /// The position that was given out last.
+    last_position: AtomicU64,
 }
 
 impl IdleConnections {
@@ -55,56 +59,58 @@
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells one to close; false if none is idle.
-    fn close_longest(&self) -> bool {
+    /// Asks the connection that has been idle for longest to close; returns false if none is idle.
+    fn close_longest_idle(&self) -> bool {
         let longest = self.idle().pop_first();
         longest.is_some_and(|(_, signal)| {
-            signal.closes.store(true, Ordering::Relaxed);
+            signal.requested.store(true, Ordering::Relaxed);
             signal.waker.wake();
             true
         })
     }
 }
 
+/// Asks one connection to close.
 #[derive(Debug, Default)]
 struct CloseSignal {
-    closes: AtomicBool,
+    requested: AtomicBool,
     waker: AtomicWaker,
 }
 
-/// No place among the idle connections.
+/// The position of a connection that is not idle.
 const BUSY: u64 = 0;
 
-/// Whether one connection is idle.
+/// Reports whether one connection is idle.
 #[derive(Debug)]
 pub struct IdleTracker {
     connections: Arc<IdleConnections>,
-    /// Its place among those that are idle.
-    since: AtomicU64,
+    /// The connection's position among the idle ones.
+    position: AtomicU64,
     close: Arc<CloseSignal>,
 }
 
 impl IdleTracker {
-    /// Nothing is out on the connection from now on.
+    /// Records that no request is in progress on the connection any more.
     pub fn mark_idle(&self) {
-        let place = self.connections.last.fetch_add(1, Ordering::Relaxed) + 1;
+        let position = self.connections.last_position.fetch_add(1, Ordering::Relaxed) + 1;
         let mut idle = self.connections.idle();
-        idle.remove(&self.since.swap(place, Ordering::Relaxed));
-        idle.insert(place, self.close.clone());
+        idle.remove(&self.position.swap(position, Ordering::Relaxed));
+        idle.insert(position, self.close.clone());
     }
 
-    /// The connection is in use from now on, or gone.
+    /// Records that the connection is in use, or closed.
     pub fn mark_busy(&self) {
-        let place = self.since.swap(BUSY, Ordering::Relaxed);
-        if place != BUSY {
-            self.connections.idle().remove(&place);
+        let position = self.position.swap(BUSY, Ordering::Relaxed);
+        if position != BUSY {
+            self.connections.idle().remove(&position);
         }
     }
 
-    /// Whether the connection has to close, as another needs its descriptor; if not, the task is woken once it has to.
+    /// Returns true if the connection has to close because another needs its descriptor. If it need not yet, the task
+    /// is woken once it does.
     pub fn must_close(&self, context: &Context<'_>) -> bool {
         self.close.waker.register(context.waker());
-        self.close.closes.load(Ordering::Relaxed)
+        self.close.requested.load(Ordering::Relaxed)
     }
 }
 
