--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,4 +1,5 @@
-//! Sockets and files: the fronts that clients reach, an actor for each peer and each list, and the module's.
+//! All I/O on sockets and files: the fronts that clients connect to, the hub that owns the core, and an actor for each
+//! peer and for each list of servers.
 
 pub mod budget;
 pub mod clock;
--- a/src/transport/relay.rs
+++ b/src/transport/relay.rs
@@ -1,5 +1,6 @@
-//! Relays JSON-RPC tool calls to tool servers by way of the core: it maps ids, follows the answer's stream,
-//! and relays the calls that the server raises in it. Who is called, again or not, the module decides.
+//! Relays JSON-RPC tool calls to tool servers through the core: it maps ids, follows the answer's stream and relays
+//! the nested calls that the server makes in it. The core decides which server is called, and whether a call is sent
+//! again.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -20,21 +21,21 @@
 use crate::protocol::platform::{self, MOST_BODY};
 use crate::routing::{Admission, PoolId};
 
-/// Calls may raise calls so deep: servers that call each other in a ring must come to an end.
-const DEEPEST: u32 = 4;
-/// Four characters make a token.
-const CHARACTERS_A_TOKEN: u64 = 4;
-/// The largest answer that comes in one piece.
-const MOST_ANSWER: usize = 1024 * 1024;
+/// The deepest nesting of calls, so that servers that call each other in a circle come to an end.
+const MAX_CALL_DEPTH: u32 = 4;
+/// A token is taken to be four characters long when a call's prompt tokens are estimated.
+const CHARACTERS_PER_TOKEN: u64 = 4;
+/// Size limit in bytes of an answer that is not a stream of events.
+const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
 /// How calls of one tool are treated.
 #[derive(Clone, Copy, Debug)]
 pub struct Tool {
     /// The class of its requests.
     pub class: ClassId,
-    /// Its calls take effect and must never run twice.
+    /// Its calls have side effects and must never run twice.
     pub has_side_effects: bool,
-    /// How long a call may take where its client does not say.
+    /// The longest that a call may take. A client may set a shorter time.
     pub deadline: Micros,
 }
 
@@ -43,36 +44,36 @@
 pub struct Call {
     /// The client's id for it.
     pub id: Value,
-    /// Its params, with the tool's name.
+    /// The call's params, which include the tool's name.
     pub params: Value,
-    /// Its session.
+    /// The session that the call belongs to.
     pub session: Option<SessionKey>,
-    /// How long its client waits, if it says so.
+    /// How long the client waits, if it says so.
     pub time_left: Option<Micros>,
 }
 
-/// The way of tool calls to their servers.
+/// Relays tool calls to their servers.
 #[derive(Clone)]
 pub struct Relay {
-    /// The way to the module.
+    /// The hub, to which requests are handed in.
     pub hub: Hub,
-    /// The tool servers' pool.
+    /// The pool of the tool servers.
     pub pool: PoolId,
     /// The tools that may be called.
     pub tools: Arc<HashMap<String, Tool>>,
-    /// The path at which tool servers take calls.
+    /// The path at which tool servers accept calls.
     pub path: Arc<str>,
-    /// Opens the ids under which this conductor relays calls.
+    /// The prefix of the ids under which this conductor relays calls.
     pub id_prefix: Arc<str>,
-    /// Numbers them.
+    /// The number in the next of these ids.
     pub next_number: Arc<AtomicU64>,
 }
 
-/// What relayed calls tell their client before and beside their final answers.
+/// Sends JSON-RPC messages to the client: besides final answers, what relayed calls report before them.
 pub type ClientSender = mpsc::Sender<Value>;
 
 impl Relay {
-    /// The tool that a request calls.
+    /// Returns the tool that a request calls.
     pub fn tool(&self, method: &str, params: &Value) -> Result<Tool, RpcError> {
         if method != jsonrpc::CALL {
             return Err(RpcError::Method);
@@ -81,28 +82,29 @@
         self.tools.get(&name).copied().ok_or(RpcError::Params("there is no such tool"))
     }
 
-    /// Runs a call to its final answer. Dropping this calls it off.
-    pub async fn run(&self, call: Call, tool: Tool, told: &ClientSender) -> Result<Value, RpcError> {
-        self.clone().relay(call, tool, told.clone(), 0).await
+    /// Runs a call to its final answer. Dropping the future cancels the call.
+    pub async fn run(&self, call: Call, tool: Tool, to_client: &ClientSender) -> Result<Value, RpcError> {
+        self.clone().relay(call, tool, to_client.clone(), 0).await
     }
 
-    /// Not an `async fn`: calls raise calls, and a future can't hold itself.
+    /// Relays a call at a depth of nesting. This is not an `async fn` because calls make nested calls, and a future can't
+    /// contain itself.
     fn relay(
         self,
         call: Call,
         tool: Tool,
-        told: ClientSender,
+        to_client: ClientSender,
         depth: u32,
     ) -> futures_util::future::BoxFuture<'static, Result<Value, RpcError>> {
         Box::pin(async move {
             let time_left = call.time_left.unwrap_or(tool.deadline).min(tool.deadline);
-            let until = Instant::now() + Duration::from_micros(time_left);
+            let expires_at = Instant::now() + Duration::from_micros(time_left);
             let id = format!("{}-{}", self.id_prefix, self.next_number.fetch_add(1, Ordering::Relaxed));
             let payload = self.payload(&id, jsonrpc::call(&id, &call.params));
             if payload.body.len() > MOST_BODY {
                 return Err(RpcError::Invalid("too large"));
             }
-            let prompt_tokens = payload.body.len() as u64 / CHARACTERS_A_TOKEN;
+            let prompt_tokens = payload.body.len() as u64 / CHARACTERS_PER_TOKEN;
             let request =
                 Request { class: tool.class, session: call.session, prompt_tokens, ..Request::plain() };
             let admission = Admission { pool: self.pool, request, time_left };
@@ -113,15 +115,23 @@
                 }
                 (Reply::Failed { overdue: true, .. }, _) => Err(RpcError::Deadline),
                 (Reply::Failed { .. } | Reply::IdInUse, _) => Err(RpcError::Failed),
-                (Reply::Stream(body), ticket) => {
-                    // Once it has begun, a call that breaks off may have taken effect, its own or that of a
-                    // booking it has raised.
-                    let effect = Arc::new(AtomicBool::new(tool.has_side_effects));
-                    let stream =
-                        Stream { relay: self, call, id, ticket, told, depth, until, effect: effect.clone() };
-                    match tokio::time::timeout_at(until, stream.follow(body)).await {
+                (Reply::Stream(body), request_handle) => {
+                    // A call that breaks off after its answer has begun may have had an effect: its own, or that of a
+                    // nested call.
+                    let may_have_effect = Arc::new(AtomicBool::new(tool.has_side_effects));
+                    let stream = AnswerStream {
+                        relay: self,
+                        call,
+                        id,
+                        request_handle,
+                        to_client,
+                        depth,
+                        expires_at,
+                        may_have_effect: may_have_effect.clone(),
+                    };
+                    match tokio::time::timeout_at(expires_at, stream.follow(body)).await {
                         Ok(Some(result)) => result,
-                        _ if effect.load(Ordering::Relaxed) => Err(RpcError::MayHaveRun),
+                        _ if may_have_effect.load(Ordering::Relaxed) => Err(RpcError::MayHaveRun),
                         Ok(None) => Err(RpcError::Failed),
                         Err(_) => Err(RpcError::Deadline),
                     }
@@ -142,117 +152,122 @@
     }
 }
 
-/// The stream of one call's answer.
-struct Stream {
+/// The answer of one call, while it is read.
+struct AnswerStream {
     relay: Relay,
     call: Call,
     id: String,
-    ticket: RequestHandle,
-    told: ClientSender,
+    request_handle: RequestHandle,
+    to_client: ClientSender,
     depth: u32,
-    until: Instant,
-    effect: Arc<AtomicBool>,
+    expires_at: Instant,
+    /// The call, or one nested in it, has side effects.
+    may_have_effect: Arc<AtomicBool>,
 }
 
-/// The calls that a stream has raised.
+/// The nested calls that a server has made in its answer.
 #[derive(Default)]
-struct Raised {
+struct NestedCalls {
     open: JoinSet<(Value, Result<Value, RpcError>)>,
-    /// All their ids, as text: one that comes again in the stream must not run again.
-    seen: HashSet<String>,
+    /// The ids of all nested calls so far, as text. A call whose id is repeated in the answer must not run again.
+    seen_ids: HashSet<String>,
 }
 
-impl Stream {
-    /// Follows the answer to the call's response; none if it ends or goes astray before that. What the call
-    /// has raised comes to its own end in any case.
+impl AnswerStream {
+    /// Follows the answer up to the call's response; returns `None` if the answer ends or can't be read before that.
+    /// Nested calls run to their own end in any case.
     async fn follow(self, body: Body) -> Option<Result<Value, RpcError>> {
-        let mut raised = Raised::default();
-        let result = self.read(body, &mut raised).await;
-        if !raised.open.is_empty() {
-            tokio::spawn(self.finish(raised));
+        let mut nested = NestedCalls::default();
+        let result = self.read(body, &mut nested).await;
+        if !nested.open.is_empty() {
+            tokio::spawn(self.finish_nested(nested));
         }
         result
     }
 
-    async fn read(&self, mut body: Body, raised: &mut Raised) -> Option<Result<Value, RpcError>> {
-        let events =
-            body.content_type.as_ref().is_some_and(|kind| kind.as_bytes().starts_with(b"text/event-stream"));
-        let (mut reader, mut whole) = (Events::default(), Vec::new());
+    async fn read(&self, mut body: Body, nested: &mut NestedCalls) -> Option<Result<Value, RpcError>> {
+        let is_event_stream = body
+            .content_type
+            .as_ref()
+            .is_some_and(|value| value.as_bytes().starts_with(b"text/event-stream"));
+        let (mut event_reader, mut buffer) = (Events::default(), Vec::new());
         loop {
             let part = tokio::select! {
                 part = body.parts.recv() => part?,
-                Some(Ok((id, result))) = raised.open.join_next() => {
-                    self.hand_back(id, result).await;
+                Some(Ok((id, result))) = nested.open.join_next() => {
+                    self.return_result(id, result).await;
                     continue;
                 }
             };
             match part {
-                Part::Data(bytes) if events => {
-                    for text in reader.feed(&bytes)? {
-                        if let Some(result) = self.take(raised, &text).await {
+                Part::Data(bytes) if is_event_stream => {
+                    for text in event_reader.feed(&bytes)? {
+                        if let Some(result) = self.handle_message(nested, &text).await {
                             return Some(result);
                         }
                     }
                 }
-                Part::Data(bytes) if whole.len() + bytes.len() > MOST_ANSWER => return None,
-                Part::Data(bytes) => whole.extend_from_slice(&bytes),
-                Part::End if events => return None,
-                Part::End => return self.take(raised, std::str::from_utf8(&whole).ok()?).await,
+                Part::Data(bytes) if buffer.len() + bytes.len() > MAX_ANSWER_BYTES => return None,
+                Part::Data(bytes) => buffer.extend_from_slice(&bytes),
+                Part::End if is_event_stream => return None,
+                Part::End => return self.handle_message(nested, std::str::from_utf8(&buffer).ok()?).await,
             }
         }
     }
 
-    /// Takes one message of the server; gives the call's result if it is that.
-    async fn take(&self, raised: &mut Raised, text: &str) -> Option<Result<Value, RpcError>> {
+    /// Handles one message of the server; returns the call's result if the message is its response.
+    async fn handle_message(&self, nested: &mut NestedCalls, text: &str) -> Option<Result<Value, RpcError>> {
         match jsonrpc::message(serde_json::from_str(text).ok()?).ok()? {
             Message::Response { id, result } if id == self.id.as_str() => return Some(result),
-            // An answer to no call of ours helps nobody.
+            // A response to any other id is ignored.
             Message::Response { .. } => {}
             Message::Request { id: Some(id), method, params } => {
-                self.raise(raised, id, &method, params).await;
+                self.relay_nested(nested, id, &method, params).await;
             }
             Message::Request { id: None, method, params } => {
-                let _ = self.told.send(jsonrpc::notification(&method, &params)).await;
+                let _ = self.to_client.send(jsonrpc::notification(&method, &params)).await;
             }
         }
         None
     }
 
-    /// Relays a call that the server has raised, as a request of its own.
-    async fn raise(&self, raised: &mut Raised, id: Value, method: &str, params: Value) {
-        if !raised.seen.insert(id.to_string()) {
+    /// Relays a nested call of the server as a request of its own.
+    async fn relay_nested(&self, nested: &mut NestedCalls, id: Value, method: &str, params: Value) {
+        if !nested.seen_ids.insert(id.to_string()) {
             return;
         }
         let tool = match self.relay.tool(method, &params) {
-            Ok(_) if self.depth + 1 >= DEEPEST => Err(RpcError::Invalid("calls are nested too deep")),
+            Ok(_) if self.depth + 1 >= MAX_CALL_DEPTH => Err(RpcError::Invalid("calls are nested too deep")),
             tool => tool,
         };
         match tool {
             Ok(tool) => {
-                let left = self.until.saturating_duration_since(Instant::now()).as_micros() as Micros;
-                self.effect.fetch_or(tool.has_side_effects, Ordering::Relaxed);
-                let call = Call { id: id.clone(), params, session: self.call.session, time_left: Some(left) };
-                let relayed = self.relay.clone().relay(call, tool, self.told.clone(), self.depth + 1);
-                raised.open.spawn(async move { (id, relayed.await) });
+                let time_left =
+                    self.expires_at.saturating_duration_since(Instant::now()).as_micros() as Micros;
+                self.may_have_effect.fetch_or(tool.has_side_effects, Ordering::Relaxed);
+                let call =
+                    Call { id: id.clone(), params, session: self.call.session, time_left: Some(time_left) };
+                let relayed = self.relay.clone().relay(call, tool, self.to_client.clone(), self.depth + 1);
+                nested.open.spawn(async move { (id, relayed.await) });
             }
-            Err(error) => self.hand_back(id, Err(error)).await,
+            Err(error) => self.return_result(id, Err(error)).await,
         }
     }
 
-    /// Gives a raised call's result to the server under its own id, and tells the client's stream of it.
-    async fn hand_back(&self, raised: Value, result: Result<Value, RpcError>) {
-        let message = jsonrpc::response(&raised, &result);
-        self.relay.hub.post_to_owner(&self.ticket, self.relay.payload(&self.id, message)).await;
-        let _ = self.told.send(jsonrpc::tool_result(&self.call.id, &raised, &result)).await;
+    /// Returns a nested call's result to the server under the server's own id, and reports it on the client's stream.
+    async fn return_result(&self, nested_id: Value, result: Result<Value, RpcError>) {
+        let message = jsonrpc::response(&nested_id, &result);
+        self.relay.hub.post_to_owner(&self.request_handle, self.relay.payload(&self.id, message)).await;
+        let _ = self.to_client.send(jsonrpc::tool_result(&self.call.id, &nested_id, &result)).await;
     }
 
-    /// The call is answered: what it has raised still comes to its own end, unless the client leaves.
-    async fn finish(self, mut raised: Raised) {
+    /// Runs the nested calls to their end after the call itself is answered, unless the client leaves.
+    async fn finish_nested(self, mut nested: NestedCalls) {
         loop {
             tokio::select! {
-                () = self.told.closed() => return,
-                ended = raised.open.join_next() => match ended {
-                    Some(Ok((id, result))) => self.hand_back(id, result).await,
+                () = self.to_client.closed() => return,
+                joined = nested.open.join_next() => match joined {
+                    Some(Ok((id, result))) => self.return_result(id, result).await,
                     Some(Err(_)) => {}
                     None => return,
                 },
