--- a/src/transport/hub/message.rs
+++ b/src/transport/hub/message.rs
@@ -171,7 +171,7 @@
 
 impl Drop for RequestHandle {
     fn drop(&mut self) {
-        // After the last part of an answer this is no news, and is ignored.
+        // After the last part of an answer this has no effect.
         self.hub.send_detached(Message::Input(Input::Gone(self.id)));
     }
 }
--- a/src/transport/hub/mod.rs
+++ b/src/transport/hub/mod.rs
@@ -112,6 +112,7 @@
         }
     }
 
+    /// Handles a message, and collects what the core wants done upon it.
     fn handle_message(&mut self, now: Micros, message: Message, outputs: &mut Vec<Output>) {
         match message {
             Message::Request(_, payload, reply) if self.open_ids.contains(&payload.id) => {
@@ -156,6 +157,7 @@
         }
     }
 
+    /// Returns the counters, added up over all pools.
     fn counters(&self, now: Micros) -> Counters {
         let mut handled: Vec<(String, Handled)> = Vec::new();
         for pool in &self.pools {
@@ -199,6 +201,7 @@
         self.pools.get_mut(usize::from(pool.0))?.peer(server)
     }
 
+    /// Carries out an output of the core.
     async fn carry_out(&mut self, output: Output) {
         match output {
             Output::Send { pool, request, attempt, server, time_left, generation, connection } => {
@@ -301,6 +304,7 @@
         );
     }
 
+    /// Sends the reply to the waiting client, if there is one.
     fn answer(&mut self, request: RequestId, reply: Reply) {
         if let Some(open) = self.requests.get(&request) {
             let id = open.payload.id.as_str();
--- a/src/transport/list/discovery.rs
+++ b/src/transport/list/discovery.rs
@@ -96,6 +96,7 @@
         }
     }
 
+    /// Feeds the end of a call to the pacing, and passes the list on if the pacing accepts it.
     async fn handle_answer(&mut self, address: &str, answer: Result<List, ListError>) {
         let now = self.clock.now();
         match answer {
@@ -121,6 +122,7 @@
         }
     }
 
+    /// Makes a call to discovery and returns the list in its answer.
     async fn request_list(&self, address: &str, call: ListCall) -> Result<List, ListError> {
         let query_since = |from: u64, hold: Micros| format!("?from={from}&hold_ms={}", hold / 1_000);
         let query = match call {
--- a/src/transport/list/files.rs
+++ b/src/transport/list/files.rs
@@ -74,6 +74,7 @@
         scan
     }
 
+    /// Returns the names of the files to read, in order.
     fn names(&self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.path)? {
--- a/src/transport/list/mod.rs
+++ b/src/transport/list/mod.rs
@@ -163,11 +163,13 @@
         }
     }
 
+    /// Returns when the membership next has something to do, if at all.
     fn next_due(&self) -> Option<tokio::time::Instant> {
         let next_due = self.membership.as_ref().and_then(Membership::next_due);
         next_due.map(|at| self.clock.instant(at).into())
     }
 
+    /// Feeds the result of a trial to the membership.
     async fn finish_trial(&mut self, number: u64, result: Result<Vec<Refusal>, JoinError>) {
         match result {
             Ok(refusals) => self.feed(Input::Tried(number, refusals)).await,
@@ -220,6 +222,7 @@
         list.members.iter().filter_map(listed).collect()
     }
 
+    /// Feeds an input to the membership, and carries out what it wants done.
     async fn feed(&mut self, input: Input) {
         let Some(mut membership) = self.membership.take() else { return };
         let now = self.clock.now();
--- a/src/transport/peer/connector.rs
+++ b/src/transport/peer/connector.rs
@@ -77,6 +77,7 @@
     }
 }
 
+/// Creates a client that keeps at most `max_idle` idle connections for each peer.
 fn client_with_max_idle(links: Links, budget: ConnectionBudget, max_idle: usize) -> PeerClient {
     Client::builder(TokioExecutor::new())
         .retry_canceled_requests(false)
@@ -420,6 +421,7 @@
     }
 }
 
+/// Returns the progress of the connection that a request has been given, if it has one.
 fn progress_of(connection: &CaptureConnection) -> Option<Arc<Progress>> {
     let mut extras = http::Extensions::new();
     connection.connection_metadata().as_ref()?.get_extras(&mut extras);
@@ -446,7 +448,8 @@
 }
 
 impl RequestTracker {
-    /// Returns how far the request is known to have got by what was written. The server's answer is not considered here.
+    /// Returns how far the request is known to have got by what was written. The server's answer is not considered
+    /// here.
     pub fn evidence(&self) -> Evidence {
         match self.connection.connection_metadata().is_some() {
             _ if self.written.load(Ordering::Relaxed) => Evidence::Written,
--- a/src/transport/peer/mod.rs
+++ b/src/transport/peer/mod.rs
@@ -139,6 +139,7 @@
     address: String,
 }
 
+/// Runs the actor until its inbox closes and the calls in progress have ended.
 async fn run(mut peer: Peer, mut inbox: mpsc::Receiver<PeerMessage>) {
     let mut calls = JoinSet::new();
     let mut cancels: HashMap<(RequestId, u32), oneshot::Sender<CancelReason>> = HashMap::new();
@@ -248,6 +249,7 @@
     }
 }
 
+/// Returns the load report in an answer's headers.
 fn load_header(headers: &HeaderMap) -> Option<String> {
     headers.get(platform::LOAD).and_then(|value| value.to_str().ok()).map(str::to_string)
 }
@@ -257,6 +259,7 @@
         self.context.hub.send(Message::Input(input)).await;
     }
 
+    /// Sends an attempt and reports how it ended. A value on `cancelled`, or its closing, cancels the attempt.
     async fn run_attempt(&self, attempt: Attempt, cancelled: oneshot::Receiver<CancelReason>) {
         let (request, number, id) = (attempt.request, attempt.number, attempt.payload.id.clone());
         let connection = attempt.connection;
@@ -326,6 +329,7 @@
         Some(TrackedBody::attach(head, payload.body.clone(), written))
     }
 
+    /// Sends an attempt's request and follows its answer to the end.
     async fn call(
         &self,
         message: Request<TrackedBody>,
@@ -384,7 +388,7 @@
         let mut tail = Tail::default();
         // Comments before the first event, which don't begin the stream.
         let mut before_first_event = BytesMut::new();
-        // A tool server may be silent for as long as the calls that it has raised take.
+        // A tool server may be silent for as long as its nested calls take.
         let is_platform = self.context.dialect == Dialect::Platform;
         let mut event_due = Instant::now() + FIRST_EVENT_TIMEOUT;
         loop {
@@ -454,8 +458,8 @@
         AttemptEnd { outcome: Outcome::Served, kept_tokens: tail.kept_tokens, load }
     }
 
-    /// Returns the events that are whole so far. The answer of a tool server need not consist of events, and is returned
-    /// as it is.
+    /// Returns the events that are whole so far. The answer of a tool server need not consist of events, and is
+    /// returned as it is.
     fn whole_events(&self, tail: &mut Tail, part: Bytes) -> Result<Bytes, Spoilt> {
         match self.context.dialect {
             Dialect::Platform => tail.feed(part),
@@ -463,12 +467,14 @@
         }
     }
 
+    /// Sets the request's URI and host header; returns `None` if the server's address is not valid.
     fn with_address<B>(&self, mut request: Request<B>, path: &str) -> Option<Request<B>> {
         *request.uri_mut() = format!("http://{}{path}", self.address).parse().ok()?;
         request.headers_mut().insert(HOST, self.address.parse().ok()?);
         Some(request)
     }
 
+    /// Probes the server and reports the result.
     async fn probe(&self) {
         let started = Instant::now();
         let time_limit = Duration::from_micros(self.context.links.connect);
@@ -481,6 +487,7 @@
         self.report(Input::Probed { pool, server, outcome, took, report }).await;
     }
 
+    /// Sends a probe, and returns its outcome with the load report, if there is one.
     async fn send_probe(&self) -> (Outcome, Option<Report>) {
         let Some(head) = self.with_address(Request::new(()), self.context.dialect.probe()) else {
             return (Outcome::ConnectFailed, None);
@@ -505,6 +512,7 @@
         (outcome, platform::report(text, &self.context.fields))
     }
 
+    /// Posts a message, and logs if it can't be delivered.
     async fn post(&self, payload: &Payload) {
         let Some(head) = self.with_address(payload.head(), &payload.path) else { return };
         let (message, _tracker) = TrackedBody::attach(head, payload.body.clone(), Box::new(|| {}));
@@ -523,6 +531,7 @@
         }
     }
 
+    /// Calls the server's lease endpoint, and returns the status of the answer, if there is one.
     async fn call_lease(&self, method: Method, id: &str, connection: ConnectionChoice) -> Option<StatusCode> {
         let mut head = self.with_address(Request::new(()), &format!("/kv/leases/{id}"))?;
         *head.method_mut() = method;
--- a/src/transport/relay.rs
+++ b/src/transport/relay.rs
@@ -87,8 +87,8 @@
         self.clone().relay(call, tool, to_client.clone(), 0).await
     }
 
-    /// Relays a call at a depth of nesting. This is not an `async fn` because calls make nested calls, and a future can't
-    /// contain itself.
+    /// Relays a call at a depth of nesting. This is not an `async fn` because calls make nested calls, and a future
+    /// can't contain itself.
     fn relay(
         self,
         call: Call,
@@ -140,6 +140,7 @@
         })
     }
 
+    /// Returns the payload that carries a message to a tool server.
     fn payload(&self, id: &str, message: Value) -> Payload {
         let mut headers = HeaderMap::new();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
@@ -185,6 +186,7 @@
         result
     }
 
+    /// Reads the answer up to the call's response, and starts the nested calls in it.
     async fn read(&self, mut body: Body, nested: &mut NestedCalls) -> Option<Result<Value, RpcError>> {
         let is_event_stream = body
             .content_type
--- a/tests/dials.rs
+++ b/tests/dials.rs
@@ -163,8 +163,8 @@
             let started = Stopwatch::start();
             let mut client = conductor.ask(&format!("{class}{time_left}"), class, time_left).await;
             let head = client.until("\r\n\r\n").await.expect("an answer");
-            // At the deadline the attempt at the reader is still in progress, so it is not yet proven that a booking has
-            // not run.
+            // At the deadline the attempt at the reader is still in progress, so it is not yet proven that a booking
+            // has not run.
             assert!(head.starts_with("HTTP/1.1 503") || class == "book" && head.contains("504"), "{head}");
             let limit = Duration::from_millis(u64::from(time_left) + 100);
             assert!(started.elapsed() < limit, "{:?}", started.elapsed());
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -245,8 +245,8 @@
 
 /// The limit for a process that knows servers from its configuration, which does not wait for discovery.
 const READY_TIMEOUT_KNOWN: Duration = Duration::from_secs(2);
-/// The limit for a process that knows no servers, which waits for discovery for 3 s. The rest allows for a slow machine;
-/// the operators allow 10 s.
+/// The limit for a process that knows no servers, which waits for discovery for 3 s. The rest allows for a slow
+/// machine; the operators allow 10 s.
 const READY_TIMEOUT_UNKNOWN: Duration = Duration::from_secs(6);
 
 /// A process becomes ready in time although discovery always fails in this manner.
@@ -306,8 +306,8 @@
     story(async {
         let servers = Servers::start().await;
         let mut discovery = Scripted::start(Manner::Refuses).await;
-        // Of the calls in each second, discovery accepts the first and refuses the others, so that most processes get no
-        // answer in time.
+        // Of the calls in each second, discovery accepts the first and refuses the others, so that most processes get
+        // no answer in time.
         let works = Manner::works(2, &servers.members_before());
         let (address, manner) = (discovery.address.clone(), discovery.manner.clone());
         let overload_task = tokio::spawn(async move {
