--- a/src/transport/list/keep.rs
+++ b/src/transport/list/keep.rs
@@ -1,5 +1,5 @@
 //! Keeps the last good set of server files in the state directory. It is written to a new file beside the old one,
-//! flushed to the disk and renamed over the old one, so that a crash leaves either of them whole.
+//! flushed to the disk and renamed over the old one, so that a crash leaves either the old file or the new one, whole.
 
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
--- a/src/transport/peer/connector.rs
+++ b/src/transport/peer/connector.rs
@@ -351,7 +351,7 @@
     on_written: Mutex<Option<OnWritten>>,
 }
 
-/// The serial number of the next request.
+/// The serial number of the next request; 0 stands for no request.
 static NEXT_SERIAL: AtomicU64 = AtomicU64::new(1);
 
 impl TrackedBody {
