--- a/crates/lab/src/policy/plain.rs
+++ b/crates/lab/src/policy/plain.rs
@@ -223,7 +223,7 @@
                 }
             }
             Input::Ended { request, outcome, .. } => self.ended(now, request, outcome, out),
-            Input::Gone(id) => self.give_up(now, id, out),
+            Input::ClientGone(id) => self.give_up(now, id, out),
             Input::Probed { .. } | Input::Place(..) | Input::Released(..) => {}
         }
     }
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -393,7 +393,7 @@
                     let input = CoreInput::Probed { pool, server, outcome, took, report };
                     self.soon(self.now + 2 * WAY, Next::ToConductor(of, input));
                 }
-                CoreOutput::Hold(..)
+                CoreOutput::HoldPlace(..)
                 | CoreOutput::CloseIdle(..)
                 | CoreOutput::Explain(_)
                 | CoreOutput::Log(_)
--- a/src/expect/world.rs
+++ b/src/expect/world.rs
@@ -324,7 +324,7 @@
                     story.released.push(at);
                 }
             }
-            Output::Hold(..) | Output::CloseIdle(..) => {}
+            Output::HoldPlace(..) | Output::CloseIdle(..) => {}
             Output::Log(_) | Output::Ejected(..) | Output::HeldTooLong { .. } | Output::Forget(_) => {}
             Output::Explain(choice) => {
                 if let Some(story) = self.story(choice.request) {
--- a/src/program/life.rs
+++ b/src/program/life.rs
@@ -245,7 +245,7 @@
         loop {
             let starting = *phases.borrow() == Phase::Starting;
             tokio::select! {
-                _ = &mut known, if starting => self.connections.feed(Input::Able),
+                _ = &mut known, if starting => self.connections.feed(Input::Ready),
                 _ = self.terminate.recv() => break,
                 _ = self.report.recv() => println!("{}", figures::line(&self.hub.counted().await.figures())),
                 Some(ended) = serving.join_next() => ended.map_err(io::Error::other)?,
@@ -256,7 +256,7 @@
         let ended = async { while serving.join_next().await.is_some() {} };
         let _ = tokio::time::timeout(self.longest + BEFORE_KILL, ended).await;
         let counted = self.hub.counted().await;
-        self.connections.feed(Input::Done);
+        self.connections.feed(Input::Finished);
         Ok(counted)
     }
 }
--- a/src/recovery/drain.rs
+++ b/src/recovery/drain.rs
@@ -30,13 +30,13 @@
     }
 
     /// Whether each answer is the last one on its connection.
-    pub fn sends_off(self) -> bool {
+    pub fn closes_after_answer(self) -> bool {
         self >= Phase::Away
     }
 
     /// Whether new connections are taken from such a socket. Whoever waits at a shared one is another process's
     /// too: they are taken only by one that can serve, and not for a moment after it was told to end.
-    pub fn takes(self, socket: Socket) -> bool {
+    pub fn accepts_from(self, socket: Socket) -> bool {
         match socket {
             Socket::Own => self < Phase::Closing,
             Socket::Shared => self.serves(),
@@ -63,27 +63,27 @@
     /// Send clients away.
     Away,
     /// Back to work.
-    Back,
+    Resume,
 }
 
 /// A call that can't be followed any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("this process has been told to end")]
-pub struct TooLate;
+pub struct AlreadyTerminating;
 
 /// What happens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Input {
     /// The program can serve.
-    Able,
+    Ready,
     /// It is told to end.
     Terminate,
     /// All that was taken is answered, or the time is over.
-    Done,
+    Finished,
     /// A connection has been taken.
     Opened(ConnectionId),
     /// A request begins on it.
-    Asked(ConnectionId),
+    RequestStarted(ConnectionId),
     /// Its request is answered, and all of the answer written.
     Answered(ConnectionId),
     /// It has ended.
@@ -164,14 +164,14 @@
     /// # Errors
     ///
     /// There is no way back from the end.
-    pub fn call(&mut self, now: Micros, call: Call, out: &mut Vec<Output>) -> Result<(), TooLate> {
+    pub fn call(&mut self, now: Micros, call: Call, out: &mut Vec<Output>) -> Result<(), AlreadyTerminating> {
         match (call, self.phase) {
             (Call::Away, Phase::Starting) => self.away_first = true,
-            (Call::Back, Phase::Starting) => self.away_first = false,
+            (Call::Resume, Phase::Starting) => self.away_first = false,
             (Call::Away, Phase::Serving) => self.part(now, Phase::Away, out),
-            (Call::Back, Phase::Away) => self.enter(Phase::Serving, out),
-            (Call::Away, _) | (Call::Back, Phase::Serving) => {}
-            (Call::Back, _) => return Err(TooLate),
+            (Call::Resume, Phase::Away) => self.enter(Phase::Serving, out),
+            (Call::Away, _) | (Call::Resume, Phase::Serving) => {}
+            (Call::Resume, _) => return Err(AlreadyTerminating),
         }
         Ok(())
     }
@@ -179,16 +179,16 @@
     /// Takes one event.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::Able if self.phase == Phase::Starting && self.away_first => {
+            Input::Ready if self.phase == Phase::Starting && self.away_first => {
                 self.part(now, Phase::Away, out)
             }
-            Input::Able if self.phase == Phase::Starting => self.enter(Phase::Serving, out),
+            Input::Ready if self.phase == Phase::Starting => self.enter(Phase::Serving, out),
             Input::Terminate if self.phase < Phase::Draining => self.part(now, Phase::Draining, out),
-            Input::Done if self.phase >= Phase::Draining => self.enter(Phase::Ended, out),
-            Input::Able | Input::Terminate | Input::Done | Input::Tick => {}
+            Input::Finished if self.phase >= Phase::Draining => self.enter(Phase::Ended, out),
+            Input::Ready | Input::Terminate | Input::Finished | Input::Tick => {}
             Input::Opened(id) => drop(self.resting.insert(id, Rest { since: now, fresh: true })),
             Input::Answered(id) => drop(self.resting.insert(id, Rest { since: now, fresh: false })),
-            Input::Asked(id) | Input::Ended(id) => drop(self.resting.remove(&id)),
+            Input::RequestStarted(id) | Input::Ended(id) => drop(self.resting.remove(&id)),
         }
         self.close(now, out);
     }
--- a/src/recovery/held.rs
+++ b/src/recovery/held.rs
@@ -21,7 +21,7 @@
 
 /// The states and places of one request.
 #[derive(Default)]
-pub struct Held {
+pub struct HeldState {
     waiting: Option<Waiting>,
     release: Option<Release>,
     /// Since when what is being released has waited.
@@ -30,7 +30,7 @@
 
 /// What is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HeldDue {
+pub enum DueRelease {
     /// Nothing yet.
     Nothing,
     /// A release; the router had no use for the state.
@@ -39,7 +39,7 @@
     ReleaseOfWanted,
 }
 
-impl Held {
+impl HeldState {
     /// A read has ended well. Its state goes by the same name as any before it, and calls that are out for those must
     /// not be followed by more.
     pub fn read(&mut self, now: Micros, within: Micros, wanted: bool) {
@@ -77,7 +77,7 @@
 
     /// A server has been heard to use it: the rest is let go of with that.
     pub fn used(&mut self) {
-        *self = Held::default();
+        *self = HeldState::default();
     }
 
     /// The router means to have the state fetched, and nobody has been asked to let go of it.
@@ -96,14 +96,14 @@
     }
 
     /// What is due by now; it is so no more.
-    pub fn take_due(&mut self, now: Micros) -> HeldDue {
+    pub fn take_due(&mut self, now: Micros) -> DueRelease {
         let Some(waiting) = self.waiting.filter(|waiting| waiting.due <= now) else {
-            return HeldDue::Nothing;
+            return DueRelease::Nothing;
         };
         self.waiting = None;
         self.released_since =
             Some(self.released_since.map_or(waiting.since, |since| since.min(waiting.since)));
-        if waiting.wanted { HeldDue::ReleaseOfWanted } else { HeldDue::Release }
+        if waiting.wanted { DueRelease::ReleaseOfWanted } else { DueRelease::Release }
     }
 
     /// Calls to these servers go out. What may yet be left stays due.
--- a/src/recovery/mod.rs
+++ b/src/recovery/mod.rs
@@ -6,9 +6,9 @@
 mod pacing;
 mod release;
 
-pub use drain::{Call, ConnectionId, Drain, Input, Output, Phase, Socket, TooLate};
-pub use held::{Held, HeldDue};
+pub use drain::{AlreadyTerminating, Call, ConnectionId, Drain, Input, Output, Phase, Socket};
+pub use held::{DueRelease, HeldState};
 pub use pacing::{
-    Call as ListCall, Ended as ListEnded, Input as ListInput, Pacing, Phase as ListPhase, Times,
+    Call as ListCall, CallOutcome as ListOutcome, Input as ListInput, Pacing, Phase as ListPhase, Times,
 };
 pub use release::Release;
--- a/src/recovery/pacing.rs
+++ b/src/recovery/pacing.rs
@@ -14,17 +14,17 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Times {
     /// What discovery has counts as told this long after it could be reached.
-    pub told: Micros,
+    pub apply_within: Micros,
     /// What is left of that for a slow machine.
     pub margin: Micros,
     /// A discovery that can be reached answers a call that need not wait, with the whole list, within this.
-    pub answer: Micros,
+    pub answer_within: Micros,
     /// The longest wait of a watch. A short one is soon missed where discovery has gone silent.
-    pub hold: Micros,
+    pub longest_hold: Micros,
     /// An answer that is late by this does not come any more.
-    pub late: Micros,
+    pub answer_grace: Micros,
     /// The longest pause before a call that resumes what the last one began.
-    pub resume: Micros,
+    pub resume_within: Micros,
 }
 
 impl Times {
@@ -32,37 +32,37 @@
     /// comes within 200 ms, of which `resume` leaves half. A full list takes some ten milliseconds where nothing
     /// else runs.
     pub const PLATFORM: Times = Times {
-        told: 6_000_000,
+        apply_within: 6_000_000,
         margin: 500_000,
-        answer: 500_000,
-        hold: 2_000_000,
-        late: 1_000_000,
-        resume: 100_000,
+        answer_within: 500_000,
+        longest_hold: 2_000_000,
+        answer_grace: 1_000_000,
+        resume_within: 100_000,
     };
 
     /// The longest time from the return of discovery to a whole answer.
     pub const fn bound(&self) -> Micros {
-        self.told - self.margin
+        self.apply_within - self.margin
     }
 
     /// The longest time from the beginning of one call to that of the next.
     pub const fn gap(&self) -> Micros {
-        self.bound() - 2 * self.answer - self.resume
+        self.bound() - 2 * self.answer_within - self.resume_within
     }
 
     /// The longest time that a call takes.
     const fn longest(&self) -> Micros {
-        self.hold + self.late
+        self.longest_hold + self.answer_grace
     }
 }
 
-const _: () = assert!(Times::PLATFORM.longest() + Times::PLATFORM.resume < Times::PLATFORM.gap());
+const _: () = assert!(Times::PLATFORM.longest() + Times::PLATFORM.resume_within < Times::PLATFORM.gap());
 
 /// What is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
     /// The whole list, at once.
-    Whole,
+    Full,
     /// What is newer than this version, at once: it shows whether discovery answers.
     Check {
         /// The version that is known.
@@ -98,7 +98,7 @@
 
 /// What became of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum CallOutcome {
     /// A list came whole.
     Answered {
         /// Its version.
@@ -109,20 +109,20 @@
     /// It was refused: too many ask, or discovery is down. What was known before still holds there.
     Refused,
     /// What came is no list, or discovery does not know the version that was named.
-    Unfit,
+    Invalid,
     /// The connection broke, or did not come up.
-    Broke,
+    ConnectionLost,
 }
 
 /// What the caller is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Input {
     /// The call that is out has ended.
-    Ended(Ended),
+    Ended(CallOutcome),
     /// The time of the phase is over.
     Due,
     /// Discovery is at another address.
-    Moved,
+    AddressChanged,
 }
 
 /// The first backoff after a refusal is drawn around this for each caller that there is. Measured on herd days: an
@@ -174,7 +174,7 @@
     pub fn handle(&mut self, now: Micros, input: Input) -> bool {
         match (self.phase, input) {
             // Versions of another discovery need not be those of the one before, and it has not failed yet.
-            (_, Input::Moved) => {
+            (_, Input::AddressChanged) => {
                 (self.known, self.heard, self.refusals, self.breaks) = (None, false, 0, 0);
                 self.call(now);
             }
@@ -182,7 +182,7 @@
             // The wait was a pause already, and its length was drawn.
             (Phase::Calling { until, .. }, Input::Due) if now >= until => {
                 self.heard = false;
-                self.pause(now, self.times.resume);
+                self.pause(now, self.times.resume_within);
             }
             (Phase::Calling { call, since, .. }, Input::Ended(ended)) => {
                 return self.ended(now, call, since, ended);
@@ -192,33 +192,33 @@
         false
     }
 
-    fn ended(&mut self, now: Micros, call: Call, since: Micros, ended: Ended) -> bool {
+    fn ended(&mut self, now: Micros, call: Call, since: Micros, ended: CallOutcome) -> bool {
         match ended {
             // A list that has gone back, and does not come whole, is one of a restarted discovery.
-            Ended::Answered { revision, complete: false }
+            CallOutcome::Answered { revision, complete: false }
                 if self.known.is_none_or(|known| revision < known) =>
             {
                 self.unfit(now, since);
             }
-            Ended::Answered { revision, .. } => {
+            CallOutcome::Answered { revision, .. } => {
                 let early =
                     matches!(call, Call::Watch { from, hold } if from == revision && now < since + hold / 2);
                 (self.known, self.heard, self.refusals, self.breaks) = (Some(revision), true, 0, 0);
                 // A discovery that does not wait is not asked without a break.
                 if early {
-                    self.pause(now, self.times.resume)
+                    self.pause(now, self.times.resume_within)
                 } else {
                     self.call(now)
                 }
                 return true;
             }
-            Ended::Unfit => self.unfit(now, since),
-            Ended::Refused => self.back_off(now, since),
-            Ended::Broke => {
+            CallOutcome::Invalid => self.unfit(now, since),
+            CallOutcome::Refused => self.back_off(now, since),
+            CallOutcome::ConnectionLost => {
                 self.breaks = self.breaks.saturating_add(1);
                 self.heard = false;
                 if self.breaks <= BREAKS {
-                    self.pause(now, self.times.resume);
+                    self.pause(now, self.times.resume_within);
                 } else {
                     self.back_off(now, since);
                 }
@@ -231,7 +231,7 @@
     fn unfit(&mut self, now: Micros, since: Micros) {
         self.heard = false;
         match self.known.take() {
-            Some(_) => self.pause(now, self.times.resume),
+            Some(_) => self.pause(now, self.times.resume_within),
             None => self.back_off(now, since),
         }
     }
@@ -254,20 +254,22 @@
 
     fn pause_between(&mut self, now: Micros, least: Micros, most: Micros) {
         // Never none at all, or a discovery that fails at once would be called without end.
-        let least = least.max(self.times.resume / 10);
+        let least = least.max(self.times.resume_within / 10);
         self.phase = Phase::Pausing { until: now + self.rng.random_range(least..=most.max(least)) };
     }
 
     /// The next call. Its length is drawn: many may have begun theirs together, at one change.
     fn call(&mut self, now: Micros) {
-        let Times { hold, late, .. } = self.times;
+        let Times { longest_hold, answer_grace, .. } = self.times;
         let (call, within) = match self.known {
             Some(from) if self.heard => {
-                let hold = self.rng.random_range(hold / 2..=hold);
-                (Call::Watch { from, hold }, hold + late)
+                let hold = self.rng.random_range(longest_hold / 2..=longest_hold);
+                (Call::Watch { from, hold }, hold + answer_grace)
             }
-            Some(from) => (Call::Check { from }, self.rng.random_range(late..=hold + late)),
-            None => (Call::Whole, self.rng.random_range(late..=hold + late)),
+            Some(from) => {
+                (Call::Check { from }, self.rng.random_range(answer_grace..=longest_hold + answer_grace))
+            }
+            None => (Call::Full, self.rng.random_range(answer_grace..=longest_hold + answer_grace)),
         };
         self.phase = Phase::Calling { call, since: now, until: now + within };
     }
--- a/src/routing/core.rs
+++ b/src/routing/core.rs
@@ -6,11 +6,11 @@
 use super::evidence::Evidence;
 use super::message::{Admission, CancelReason, ConnectionChoice, Input, Output, PoolId};
 use super::state::{Deferred, Due, Open, Pool};
-use super::totals::{End, Handled, Totals};
+use super::totals::{ClassTotals, End, Totals};
 use super::tries::{Attempt, Tries};
 use crate::choice::Router;
 use crate::interface::*;
-use crate::recovery::Held;
+use crate::recovery::HeldState;
 
 /// The time for a connection to come up: an attempt tells its server the time left at its send. A third of the slack is
 /// for timers that are late.
@@ -36,7 +36,7 @@
     /// Adds a router; its requests and servers are named by the id that is returned.
     pub fn add_pool(&mut self, settings: Settings, seed: u64, now: Micros) -> Result<PoolId, SettingsError> {
         let router = Router::new(settings.clone(), seed, now)?;
-        let handled = vec![Handled::default(); settings.classes.len()];
+        let handled = vec![ClassTotals::default(); settings.classes.len()];
         let (kinds, heard) = (BTreeMap::new(), BTreeMap::new());
         self.pools.push(Pool { router, settings, kinds, heard, generation: 0, handled });
         Ok(PoolId(self.pools.len() as u8 - 1))
@@ -62,7 +62,7 @@
     }
 
     /// How a pool's requests have ended, by class.
-    pub fn handled(&self, pool: PoolId) -> &[Handled] {
+    pub fn class_totals(&self, pool: PoolId) -> &[ClassTotals] {
         self.pools.get(usize::from(pool.0)).map_or(&[], |pool| &pool.handled)
     }
 
@@ -96,7 +96,7 @@
                     self.totals.unreachable += 1;
                     out.push(cancel(id, attempt, CancelReason::NotWrittenInTime));
                 }
-                Due::Held(id) => self.on_held_due(now, id, out),
+                Due::HeldExpiry(id) => self.on_held_due(now, id, out),
                 Due::Deferred(id, attempt) => self.send_deferred(now, id, Some(attempt), out),
                 Due::Release(id) => self.ask_to_release(now, id, |release, ask| release.tick(now, ask), out),
             }
@@ -141,7 +141,7 @@
                     self.drive(now, pool, Event::Place { request, server, held }, out);
                 }
             }
-            Input::Gone(id) => {
+            Input::ClientGone(id) => {
                 let Some(open) = self.open.get_mut(&id).filter(|open| !open.over) else { return };
                 let pool = open.pool;
                 open.over = true;
@@ -155,7 +155,7 @@
         let Admission { pool, mut request, time_left } = admission;
         request.expires = now.saturating_add(time_left);
         let (id, class, expires) = (request.id, request.class, request.expires);
-        let (tries, held, owner, over) = (Tries::default(), Held::default(), None, false);
+        let (tries, held, owner, over) = (Tries::default(), HeldState::default(), None, false);
         let open = Open { pool, class, expires, tries, owner, over, held, deferred: None };
         self.open.insert(id, open);
         self.totals.taken += 1;
@@ -310,7 +310,7 @@
                 out.push(cancel(request, attempt, CancelReason::Moved));
             }
             Action::Release(request) => self.start_release(now, request, out),
-            Action::HoldPlace { request, server } => out.push(Output::Hold(pool, request, server)),
+            Action::HoldPlace { request, server } => out.push(Output::HoldPlace(pool, request, server)),
             Action::SetTimer { at, timer } => self.wake(at, Due::Router(pool, timer)),
             Action::Probe(server) => {
                 self.totals.probes += 1;
--- a/src/routing/evidence.rs
+++ b/src/routing/evidence.rs
@@ -24,7 +24,7 @@
     }
 
     /// A server that runs has surely taken the call.
-    pub fn is_surely_taken(self) -> bool {
+    pub fn is_confirmed(self) -> bool {
         self >= Evidence::Heard
     }
 }
--- a/src/routing/holding.rs
+++ b/src/routing/holding.rs
@@ -7,7 +7,7 @@
 use super::message::{CancelReason, ConnectionChoice, Output};
 use super::state::{Deferred, Due, Open};
 use crate::interface::*;
-use crate::recovery::{HeldDue, Release};
+use crate::recovery::{DueRelease, Release};
 
 /// A server has surely seen by then that the connection of a call was closed, so that nothing is left of it later.
 const SEES_CLOSE: Micros = 100_000;
@@ -59,7 +59,7 @@
             _ => open.held.may_be_left(now, after_close),
         }
         if let Some(due) = open.held.due() {
-            self.wake(due, Due::Held(id));
+            self.wake(due, Due::HeldExpiry(id));
         }
     }
 
@@ -72,7 +72,7 @@
         let release_at = now + SEES_CLOSE_BEFORE_READ.min(after_close(rules));
         open.held.hasten(release_at);
         open.deferred = Some(deferred);
-        self.wake(release_at, Due::Held(id));
+        self.wake(release_at, Due::HeldExpiry(id));
         self.wake(release_at + all_asked, Due::Deferred(id, deferred.attempt));
     }
 
@@ -145,11 +145,11 @@
     pub(super) fn on_held_due(&mut self, now: Micros, id: RequestId, out: &mut Vec<Output>) {
         let Some(open) = self.open.get_mut(&id) else { return };
         let (pool, due) = (open.pool, open.held.take_due(now));
-        if due == HeldDue::Nothing {
+        if due == DueRelease::Nothing {
             return;
         }
         self.start_release(now, id, out);
-        if due == HeldDue::ReleaseOfWanted {
+        if due == DueRelease::ReleaseOfWanted {
             self.totals.released_unheard += 1;
             self.drive(now, pool, Event::StateReleased(id), out);
         }
--- a/src/routing/message.rs
+++ b/src/routing/message.rs
@@ -59,7 +59,7 @@
     /// A place asked for ahead is held, or not.
     Place(RequestId, ServerId, bool),
     /// The client has left.
-    Gone(RequestId),
+    ClientGone(RequestId),
 }
 
 /// The connection that a call goes out on.
@@ -150,7 +150,7 @@
         taken: bool,
     },
     /// Hold a place.
-    Hold(PoolId, RequestId, ServerId),
+    HoldPlace(PoolId, RequestId, ServerId),
     /// Probe a server.
     Probe(PoolId, ServerId),
     /// Close idle connections to a server.
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -12,4 +12,4 @@
 pub use self::core::Core;
 pub use self::evidence::Evidence;
 pub use self::message::{Admission, CancelReason, ConnectionChoice, Input, Output, PoolId};
-pub use self::totals::{Handled, Totals};
+pub use self::totals::{ClassTotals, Totals};
--- a/src/routing/state.rs
+++ b/src/routing/state.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 
 use super::message::PoolId;
-use super::totals::Handled;
+use super::totals::ClassTotals;
 use super::tries::Tries;
 use crate::choice::Router;
 use crate::interface::*;
-use crate::recovery::Held;
+use crate::recovery::HeldState;
 
 /// A request that has not been forgotten.
 pub(super) struct Open {
@@ -20,7 +20,7 @@
     /// The final answer is given, or no longer owed.
     pub(super) over: bool,
     /// What readers may hold for it.
-    pub(super) held: Held,
+    pub(super) held: HeldState,
     /// A further read that waits until what earlier attempts may have left has been released.
     pub(super) deferred: Option<Deferred>,
 }
@@ -47,7 +47,7 @@
     Router(PoolId, TimerId),
     GiveUp(RequestId, u32),
     Connect(RequestId, u32),
-    Held(RequestId),
+    HeldExpiry(RequestId),
     Deferred(RequestId, u32),
     Release(RequestId),
 }
@@ -61,5 +61,5 @@
     pub(super) heard: BTreeMap<ServerId, Micros>,
     pub(super) generation: u64,
     /// By class.
-    pub(super) handled: Vec<Handled>,
+    pub(super) handled: Vec<ClassTotals>,
 }
--- a/src/routing/totals.rs
+++ b/src/routing/totals.rs
@@ -40,7 +40,7 @@
 
 /// How the requests of a class have ended; those whose clients left before are not among them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Handled {
+pub struct ClassTotals {
     /// Answered by a server, to the end.
     pub served: u64,
     /// Refused.
@@ -69,7 +69,7 @@
     }
 }
 
-impl Handled {
+impl ClassTotals {
     pub(super) fn count(&mut self, end: End) {
         match end {
             End::Served => self.served += 1,
@@ -79,7 +79,7 @@
     }
 }
 
-impl std::ops::AddAssign for Handled {
+impl std::ops::AddAssign for ClassTotals {
     fn add_assign(&mut self, other: Self) {
         self.served += other.served;
         self.refused += other.refused;
--- a/src/transport/front/connection.rs
+++ b/src/transport/front/connection.rs
@@ -8,7 +8,7 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore, watch};
 use tokio::time::Instant;
 
-use crate::recovery::{Call, ConnectionId, Drain, Input, Output, Phase, Socket, TooLate};
+use crate::recovery::{AlreadyTerminating, Call, ConnectionId, Drain, Input, Output, Phase, Socket};
 use crate::transport::clock::{self, Clock};
 
 /// A connection that has never asked is closed after this: those who connect and say nothing are owed a close.
@@ -81,7 +81,7 @@
                 state.due = state.since + WHOLE_WITHIN;
             }
             drop(state);
-            self.drain.feed(Input::Asked(self.id));
+            self.drain.feed(Input::RequestStarted(self.id));
         }
     }
 
@@ -94,7 +94,7 @@
     /// asked again yet.
     pub fn is_last(&self) -> bool {
         let mut state = self.state();
-        state.last = self.drain.phase.borrow().sends_off() && !state.ahead;
+        state.last = self.drain.phase.borrow().closes_after_answer() && !state.ahead;
         state.last
     }
 
@@ -132,7 +132,7 @@
         (state.stage, state.fresh) = (Stage::Open, false);
         let due = state.due;
         drop(state);
-        self.drain.feed(Input::Asked(self.id));
+        self.drain.feed(Input::RequestStarted(self.id));
         due
     }
 
@@ -253,7 +253,7 @@
     }
 
     /// Follows an operator's call.
-    pub fn call(&self, call: Call) -> Result<(), TooLate> {
+    pub fn call(&self, call: Call) -> Result<(), AlreadyTerminating> {
         let followed = self.drain.with(|drain, now, out| drain.call(now, call, out));
         self.drain.stirred.notify_one();
         followed
--- a/src/transport/front/listener.rs
+++ b/src/transport/front/listener.rs
@@ -99,12 +99,12 @@
     pub async fn serve(self, routes: Router) {
         let mut phases = self.connections.phases();
         let socket = self.socket;
-        let _ = phases.wait_for(|phase| phase.takes(socket) || *phase >= Phase::Draining).await;
+        let _ = phases.wait_for(|phase| phase.accepts_from(socket) || *phase >= Phase::Draining).await;
         let mut open = JoinSet::new();
         loop {
             tokio::select! {
                 biased;
-                _ = phases.wait_for(|phase| !phase.takes(socket)) => break,
+                _ = phases.wait_for(|phase| !phase.accepts_from(socket)) => break,
                 (gate, place) = self.accept() => drop(open.spawn(tend(gate, place, routes.clone()))),
                 Some(_) = open.join_next() => {}
             }
--- a/src/transport/front/operators.rs
+++ b/src/transport/front/operators.rs
@@ -75,7 +75,7 @@
 }
 
 async fn ok(State(operators): State<Operators>) -> Response {
-    follow(&operators, Call::Back, "back to work\n")
+    follow(&operators, Call::Resume, "back to work\n")
 }
 
 fn follow(operators: &Operators, call: Call, done: &'static str) -> Response {
--- a/src/transport/hub/message.rs
+++ b/src/transport/hub/message.rs
@@ -11,7 +11,7 @@
 use crate::interface::*;
 use crate::membership::Generation;
 use crate::protocol::figures::Figure;
-use crate::routing::{Admission, Handled, Input, PoolId, Totals};
+use crate::routing::{Admission, ClassTotals, Input, PoolId, Totals};
 use crate::transport::budget::Budget;
 
 /// What is sent to a server, the same at each attempt.
@@ -110,14 +110,14 @@
     /// All together.
     pub totals: Totals,
     /// By the class's name.
-    pub handled: Vec<(String, Handled)>,
+    pub handled: Vec<(String, ClassTotals)>,
 }
 
 impl Counted {
     /// The figures that operators ask for, under the names that they use.
     pub fn service(&self) -> Vec<Figure> {
         let mut figures = Vec::new();
-        for (class, Handled { served, refused, failed }) in &self.handled {
+        for (class, ClassTotals { served, refused, failed }) in &self.handled {
             let ends = [("passed", served), ("dropped", refused), ("bad_gateway", failed)];
             figures
                 .extend(ends.map(|(end, count)| Figure::counter(format!("handled.{class}.{end}"), *count)));
@@ -172,7 +172,7 @@
 impl Drop for Ticket {
     fn drop(&mut self) {
         // After the last part of an answer this tells nothing new, and is passed over.
-        self.hub.tell(Message::Input(Input::Gone(self.id)));
+        self.hub.tell(Message::Input(Input::ClientGone(self.id)));
     }
 }
 
--- a/src/transport/hub/mod.rs
+++ b/src/transport/hub/mod.rs
@@ -15,7 +15,7 @@
 use super::peer::{self, Attempt, Common, ToPeer};
 use crate::interface::*;
 use crate::membership::Generation;
-use crate::routing::{Core, Handled, Input, Output, PoolId};
+use crate::routing::{ClassTotals, Core, Input, Output, PoolId};
 
 /// Messages that may wait for the module.
 const MAILBOX: usize = 4096;
@@ -144,10 +144,10 @@
     }
 
     fn counted(&self, now: Micros) -> Counted {
-        let mut handled: Vec<(String, Handled)> = Vec::new();
+        let mut handled: Vec<(String, ClassTotals)> = Vec::new();
         for pool in &self.pools {
             // Two pools may know a class by the same name.
-            for (name, ends) in pool.classes.iter().zip(self.core.handled(pool.common.pool)) {
+            for (name, ends) in pool.classes.iter().zip(self.core.class_totals(pool.common.pool)) {
                 match handled.iter_mut().find(|(known, _)| known == name) {
                     Some((_, sum)) => *sum += *ends,
                     None => handled.push((name.clone(), *ends)),
@@ -193,7 +193,7 @@
                 if held.reply.as_ref().is_some_and(oneshot::Sender::is_closed) {
                     let (outcome, kept_tokens, report) = (Outcome::NotSent, 0, None);
                     let ended = Input::Ended { request, attempt, outcome, kept_tokens, report };
-                    return self.again([Input::Gone(request), ended]);
+                    return self.again([Input::ClientGone(request), ended]);
                 }
                 let payload = held.payload.clone();
                 let send = Attempt { request, number: attempt, payload, time_left, generation, connection };
@@ -236,7 +236,7 @@
                     None => self.again([Input::Released(request, false)]),
                 }
             }
-            Output::Hold(pool, request, server) => {
+            Output::HoldPlace(pool, request, server) => {
                 let Some(held) = self.held.get(&request) else { return };
                 let id = held.payload.id.clone();
                 if let Some(peer) = self.peer(pool, server) {
--- a/src/transport/list/discovery.rs
+++ b/src/transport/list/discovery.rs
@@ -9,7 +9,7 @@
 use super::{ListHandle, News};
 use crate::interface::{ListScope, Micros};
 use crate::protocol::platform::List;
-use crate::recovery::{ListCall, ListEnded, ListInput, ListPhase, Pacing};
+use crate::recovery::{ListCall, ListInput, ListOutcome, ListPhase, Pacing};
 use crate::transport::clock::Clock;
 use crate::transport::peer::connector::{PeerClient, Tracked};
 
@@ -50,14 +50,14 @@
     fn input(&self) -> ListInput {
         ListInput::Ended(match self {
             ListError::Late(_) => return ListInput::Due,
-            ListError::Call(_) | ListError::Body(_) => ListEnded::Broke,
+            ListError::Call(_) | ListError::Body(_) => ListOutcome::ConnectionLost,
             // Busy as it is, it still knows what this watch has heard.
             ListError::Status(status)
                 if status.is_server_error() || *status == StatusCode::TOO_MANY_REQUESTS =>
             {
-                ListEnded::Refused
+                ListOutcome::Refused
             }
-            ListError::Status(_) | ListError::Address | ListError::Json(_) => ListEnded::Unfit,
+            ListError::Status(_) | ListError::Address | ListError::Json(_) => ListOutcome::Invalid,
         })
     }
 }
@@ -72,7 +72,7 @@
                 ListPhase::Pausing { until } => {
                     let due = sleep_until(self.clock.instant(until).into());
                     let input = tokio::select! {
-                        Ok(()) = moves.changed() => ListInput::Moved,
+                        Ok(()) = moves.changed() => ListInput::AddressChanged,
                         () = due => ListInput::Due,
                     };
                     self.pacing.handle(self.clock.now(), input);
@@ -82,7 +82,7 @@
                         biased;
                         // The old discovery falls silent soon, and what the new one has to tell counts as told.
                         Ok(()) = moves.changed() => {
-                            self.pacing.handle(self.clock.now(), ListInput::Moved);
+                            self.pacing.handle(self.clock.now(), ListInput::AddressChanged);
                             continue;
                         }
                         answer = timeout_at(self.clock.instant(until).into(), self.ask(&address, call)) => answer,
@@ -97,8 +97,8 @@
         let now = self.clock.now();
         match answer {
             Ok(list) => {
-                let ended = ListEnded::Answered { revision: list.revision, complete: list.complete };
-                let taken = self.pacing.handle(now, ListInput::Ended(ended));
+                let outcome = ListOutcome::Answered { revision: list.revision, complete: list.complete };
+                let taken = self.pacing.handle(now, ListInput::Ended(outcome));
                 tracing::debug!(
                     revision = list.revision,
                     complete = list.complete,
@@ -121,7 +121,7 @@
     async fn ask(&self, address: &str, call: ListCall) -> Result<List, ListError> {
         let held = |from: u64, hold: Micros| format!("?from={from}&hold_ms={}", hold / 1_000);
         let query = match call {
-            ListCall::Whole => String::new(),
+            ListCall::Full => String::new(),
             ListCall::Check { from } => held(from, 0),
             ListCall::Watch { from, hold } => held(from, hold),
         };
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -96,7 +96,7 @@
     let out = stand.ended(id, 1, Outcome::Served);
     assert_eq!(answers(&out), 0);
     assert!(stand.ended(id, 1, Outcome::Served).is_empty(), "an end counts once");
-    assert!(stand.input(Input::Gone(id)).is_empty());
+    assert!(stand.input(Input::ClientGone(id)).is_empty());
     let totals = stand.core.totals(stand.now);
     assert_eq!((totals.taken, totals.sent, totals.failed, totals.served, totals.open), (1, 2, 1, 0, 0));
 }
@@ -117,7 +117,7 @@
 fn a_read_that_was_called_off_is_let_go_of_once_more() {
     let mut stand = Stand::new(Effect::Safe);
     let (id, _) = stand.request();
-    let out = stand.input(Input::Gone(id));
+    let out = stand.input(Input::ClientGone(id));
     assert!(
         matches!(out[..], [Output::Cancel { .. }, Output::Release { server: ServerId(1), .. }]),
         "{out:?}"
@@ -220,7 +220,7 @@
     let (id, _) = stand.request();
     stand.written(id, 0);
     assert_eq!(sends(&stand.ended(id, 0, Outcome::Reset)), Vec::<u32>::new());
-    stand.input(Input::Gone(id));
+    stand.input(Input::ClientGone(id));
     assert_eq!(stand.input(Input::Released(id, true)), []);
     let out = stand.tick(stand.now + 150 * MS);
     assert_eq!(sends(&out), Vec::<u32>::new(), "{out:?}");
@@ -309,7 +309,7 @@
 fn a_state_is_let_go_of_once_more_when_a_fetch_was_called_off_for_a_client_that_left() {
     let mut stand = Stand::new(Effect::Safe);
     let id = stand.writing();
-    assert_eq!(asked(&stand.input(Input::Gone(id))), [1]);
+    assert_eq!(asked(&stand.input(Input::ClientGone(id))), [1]);
     stand.input(Input::Released(id, true));
     let out = stand.ended(id, 1, Outcome::Cancelled);
     assert!(!out.contains(&Output::Forget(id)), "{out:?}");
@@ -339,7 +339,7 @@
         let mut stand = Stand::new(Effect::Unsafe);
         let (id, _) = stand.request();
         stand.ended(id, 0, Outcome::Read);
-        let asked = stand.input(Input::Gone(id));
+        let asked = stand.input(Input::ClientGone(id));
         assert!(asked.iter().any(|o| matches!(o, Output::Release { .. })), "{asked:?}");
         stand.now += waits;
         stand.input(Input::Released(id, true));
@@ -368,7 +368,7 @@
             _ => None,
         }));
     };
-    note(stand.input(Input::Gone(id)));
+    note(stand.input(Input::ClientGone(id)));
     for wait in [100, 200, 400] {
         let until = stand.now + wait * MS;
         note(stand.tick(until));
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -148,14 +148,14 @@
 /// Failure: a watch that has fallen silent hides that servers drain.
 #[test]
 fn servers_that_drain_right_after_all_watches_fell_silent_get_nothing_new_in_time() {
-    let Times { hold, late, resume, answer, .. } = Times::PLATFORM;
-    drains_after(Manner::Hangs, hold + late + resume + answer);
+    let Times { longest_hold, answer_grace, resume_within, answer_within, .. } = Times::PLATFORM;
+    drains_after(Manner::Hangs, longest_hold + answer_grace + resume_within + answer_within);
 }
 
 /// Failure: the same where all watches are reset.
 #[test]
 fn servers_that_drain_right_after_all_watches_were_reset_get_nothing_new_in_time() {
-    drains_after(Manner::Resets, Times::PLATFORM.resume + Times::PLATFORM.answer);
+    drains_after(Manner::Resets, Times::PLATFORM.resume_within + Times::PLATFORM.answer_within);
 }
 
 /// Failure: servers drain within seconds of discovery's return, and the watch is not open again.
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -40,7 +40,7 @@
 
     fn serving(socket: Socket) -> Self {
         let mut stand = Stand::new(socket);
-        stand.feed(Input::Able);
+        stand.feed(Input::Ready);
         stand
     }
 
@@ -61,7 +61,10 @@
                     }
                 }
                 Output::Close(id) => {
-                    assert!(self.drain.phase().sends_off(), "invariant: nobody is parted with in service");
+                    assert!(
+                        self.drain.phase().closes_after_answer(),
+                        "invariant: nobody is parted with in service"
+                    );
                     let connection = self.connections.remove(&id);
                     assert!(
                         matches!(connection, Some(Connection::Fresh(_) | Connection::Rests)),
@@ -98,7 +101,7 @@
     fn ask(&mut self, id: u64) {
         if let Some(connection) = self.connections.get_mut(&ConnectionId(id)) {
             *connection = Connection::Busy;
-            self.feed(Input::Asked(ConnectionId(id)));
+            self.feed(Input::RequestStarted(ConnectionId(id)));
         }
     }
 
@@ -107,7 +110,7 @@
         if self.connections.get(&ConnectionId(id)) != Some(&Connection::Busy) {
             return;
         }
-        if last && self.drain.phase().sends_off() {
+        if last && self.drain.phase().closes_after_answer() {
             self.connections.remove(&ConnectionId(id));
             self.feed(Input::Ended(ConnectionId(id)));
         } else {
@@ -182,11 +185,11 @@
 #[test]
 fn calls_repeated_and_crossed_have_one_meaning() {
     let mut stand = Stand::new(Socket::Own);
-    assert!(stand.call(Call::Away) && stand.call(Call::Back) && stand.call(Call::Away));
-    stand.feed(Input::Able);
+    assert!(stand.call(Call::Away) && stand.call(Call::Resume) && stand.call(Call::Away));
+    stand.feed(Input::Ready);
     assert_eq!(stand.drain.phase(), Phase::Away, "sent away before it could serve");
     assert!(stand.drain.phase().serves(), "whoever comes is served");
-    assert!(stand.call(Call::Back) && stand.call(Call::Back));
+    assert!(stand.call(Call::Resume) && stand.call(Call::Resume));
     assert_eq!(stand.drain.phase(), Phase::Serving);
     stand.open(1);
     stand.ask(1);
@@ -196,33 +199,33 @@
     assert!(stand.call(Call::Away), "as it is already");
     assert_eq!(stand.pass(100 * MS).len(), 1, "the time runs from the first call");
     stand.open(2);
-    assert!(stand.call(Call::Back));
+    assert!(stand.call(Call::Resume));
     stand.pass(5_000 * MS);
     assert_eq!(stand.connections.len(), 1, "it was called off");
     stand.feed(Input::Terminate);
     assert!(stand.call(Call::Away), "they are sent away all the same");
-    assert!(!stand.call(Call::Back), "there is no way back");
+    assert!(!stand.call(Call::Resume), "there is no way back");
     stand.pass(600 * MS);
     assert_eq!(stand.entered.last(), Some(&Phase::Closing));
-    stand.feed(Input::Done);
-    assert!(!stand.call(Call::Back));
+    stand.feed(Input::Finished);
+    assert!(!stand.call(Call::Resume));
 }
 
 /// Failure: the older process takes connections that the newer one should have, or keeps clients from it.
 #[test]
 fn at_a_shared_socket_the_end_is_at_once() {
     let mut stand = Stand::new(Socket::Shared);
-    assert!(!stand.drain.phase().takes(Socket::Shared), "it can't serve yet");
-    stand.feed(Input::Able);
-    assert!(stand.drain.phase().takes(Socket::Shared));
+    assert!(!stand.drain.phase().accepts_from(Socket::Shared), "it can't serve yet");
+    stand.feed(Input::Ready);
+    assert!(stand.drain.phase().accepts_from(Socket::Shared));
     stand.open(1);
     stand.pass(1_000 * MS);
     stand.open(2);
     stand.feed(Input::Terminate);
-    assert!(!stand.drain.phase().takes(Socket::Shared));
+    assert!(!stand.drain.phase().accepts_from(Socket::Shared));
     assert!(!stand.connections.contains_key(&ConnectionId(1)), "it had rested");
     assert_eq!(stand.pass(100 * MS).len(), 1, "its first request may have been on the way");
-    assert!(Phase::Draining.takes(Socket::Own), "behind an own one nobody else stands");
+    assert!(Phase::Draining.accepts_from(Socket::Own), "behind an own one nobody else stands");
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -233,8 +236,8 @@
         1 => (0u64..6).prop_map(Step::Hangup),
         4 => (1u64..900).prop_map(|ms| Step::Pass(ms * MS)),
         1 => Just(Step::Call(Call::Away)),
-        1 => Just(Step::Call(Call::Back)),
-        1 => Just(Step::Able),
+        1 => Just(Step::Call(Call::Resume)),
+        1 => Just(Step::Ready),
         1 => Just(Step::Terminate),
     ]
 }
@@ -247,7 +250,7 @@
     Hangup(u64),
     Pass(Micros),
     Call(Call),
-    Able,
+    Ready,
     Terminate,
 }
 
@@ -275,7 +278,7 @@
                     let ending = stand.drain.phase() >= Phase::Draining;
                     prop_assert_eq!(stand.call(call), call == Call::Away || !ending, "only the end says no");
                 }
-                Step::Able => drop(stand.feed(Input::Able)),
+                Step::Ready => drop(stand.feed(Input::Ready)),
                 Step::Terminate => drop(stand.feed(Input::Terminate)),
             }
             stand.audit();
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -2,7 +2,7 @@
 
 use milletseam::interface::{Micros, ServerId};
 use milletseam::recovery::{
-    ListCall as Call, ListEnded as Ended, ListInput as Input, ListPhase as Phase, Pacing, Release, Times,
+    ListCall as Call, ListInput as Input, ListOutcome as Outcome, ListPhase as Phase, Pacing, Release, Times,
 };
 use proptest::prelude::*;
 
@@ -25,24 +25,26 @@
 enum Fate {
     Silent,
     /// Nothing listens, a reset, or half an answer.
-    Broke(f64),
+    ConnectionLost(f64),
     Refused(f64),
-    Unfit(f64),
+    Invalid(f64),
     /// Discovery answers, with what it has, before it fails again.
     Answered(f64),
     /// A new configuration comes in the midst of the call.
-    Moved(f64),
+    AddressChanged(f64),
 }
 
 impl Fate {
     fn input(self, known: u64) -> (Input, f64) {
         match self {
             Fate::Silent => (Input::Due, 1.0),
-            Fate::Broke(part) => (Input::Ended(Ended::Broke), part),
-            Fate::Refused(part) => (Input::Ended(Ended::Refused), part),
-            Fate::Unfit(part) => (Input::Ended(Ended::Unfit), part),
-            Fate::Answered(part) => (Input::Ended(Ended::Answered { revision: known, complete: true }), part),
-            Fate::Moved(part) => (Input::Moved, part),
+            Fate::ConnectionLost(part) => (Input::Ended(Outcome::ConnectionLost), part),
+            Fate::Refused(part) => (Input::Ended(Outcome::Refused), part),
+            Fate::Invalid(part) => (Input::Ended(Outcome::Invalid), part),
+            Fate::Answered(part) => {
+                (Input::Ended(Outcome::Answered { revision: known, complete: true }), part)
+            }
+            Fate::AddressChanged(part) => (Input::AddressChanged, part),
         }
     }
 }
@@ -52,11 +54,11 @@
     let part = || prop_oneof![Just(0.0), Just(0.9999), 0.0..1.0_f64];
     prop_oneof![
         3 => Just(Fate::Silent),
-        3 => part().prop_map(Fate::Broke),
+        3 => part().prop_map(Fate::ConnectionLost),
         3 => part().prop_map(Fate::Refused),
-        1 => part().prop_map(Fate::Unfit),
+        1 => part().prop_map(Fate::Invalid),
         1 => part().prop_map(Fate::Answered),
-        1 => part().prop_map(Fate::Moved),
+        1 => part().prop_map(Fate::AddressChanged),
     ]
 }
 
@@ -87,7 +89,7 @@
         fates in proptest::collection::vec(fate(), 1..60),
         at in 0.0..1.0_f64,
         restarted in any::<bool>(),
-        latency in 0..=TIMES.answer,
+        latency in 0..=TIMES.answer_within,
     ) {
         let mut pacing = Pacing::new(seed, callers, known, TIMES, 0);
         let mut fates = fates.into_iter();
@@ -140,9 +142,9 @@
                     };
                     prop_assert!(since + waits + latency < until, "given up before it can be answered");
                     now = since + waits + latency;
-                    let ended = Ended::Answered { revision, complete: call == Call::Whole };
+                    let outcome = Outcome::Answered { revision, complete: call == Call::Full };
                     answers += 1;
-                    if pacing.handle(now, Input::Ended(ended)) {
+                    if pacing.handle(now, Input::Ended(outcome)) {
                         break;
                     }
                     prop_assert!(restarted && answers == 1, "an answer is passed over");
@@ -167,12 +169,12 @@
             let at = pass(&mut pacing, fate);
             let next = match pacing.phase() {
                 Phase::Calling { call, .. } => {
-                    prop_assert!(matches!(fate, Fate::Answered(_) | Fate::Moved(_)), "no break after {fate:?}");
-                    prop_assert!(!matches!(fate, Fate::Moved(_)) || call == Call::Whole);
+                    prop_assert!(matches!(fate, Fate::Answered(_) | Fate::AddressChanged(_)), "no break after {fate:?}");
+                    prop_assert!(!matches!(fate, Fate::AddressChanged(_)) || call == Call::Full);
                     at
                 }
                 Phase::Pausing { until } => {
-                    prop_assert!(until >= at + TIMES.resume / 10, "no break after {fate:?}");
+                    prop_assert!(until >= at + TIMES.resume_within / 10, "no break after {fate:?}");
                     pass(&mut pacing, Fate::Silent)
                 }
             };
@@ -187,16 +189,16 @@
         let mut pacing = pacing(seed, 300);
         let at = pass(&mut pacing, fate);
         let now = at + ((due(&pacing) - at) as f64 * part) as Micros;
-        pacing.handle(now, Input::Moved);
-        let asked = matches!(pacing.phase(), Phase::Calling { call: Call::Whole, since, .. } if since == now);
+        pacing.handle(now, Input::AddressChanged);
+        let asked = matches!(pacing.phase(), Phase::Calling { call: Call::Full, since, .. } if since == now);
         prop_assert!(asked);
     }
 }
 
 #[test]
 fn the_bound_leaves_half_a_second_of_the_operators_term() {
-    assert!(TIMES.told == 6_000 * MS && TIMES.bound() <= 5_500 * MS);
-    let sum = TIMES.gap() + TIMES.answer + TIMES.resume + TIMES.answer;
+    assert!(TIMES.apply_within == 6_000 * MS && TIMES.bound() <= 5_500 * MS);
+    let sum = TIMES.gap() + TIMES.answer_within + TIMES.resume_within + TIMES.answer_within;
     assert_eq!(sum, TIMES.bound(), "the gap, and the answers of a discovery that was started anew");
 }
 
@@ -243,15 +245,15 @@
             prop_assert!(part <= held(1.0 / over), "{part} after {times} refusals");
         }
         // Nothing listens any more: the first tries are soon, and then it counts as refusing.
-        let down = starts(CALLERS, seed, &[Fate::Broke(0.0); 5]);
+        let down = starts(CALLERS, seed, &[Fate::ConnectionLost(0.0); 5]);
         prop_assert!(crowd(down) <= held(1.0 / over));
-        prop_assert!(starts(CALLERS, seed, &[Fate::Broke(0.0); 4]).iter().all(|at| *at <= 4 * TIMES.resume));
+        prop_assert!(starts(CALLERS, seed, &[Fate::ConnectionLost(0.0); 4]).iter().all(|at| *at <= 4 * TIMES.resume_within));
         // All watches begin at one change and fall silent: their waits differ by half of the hold.
         let silent = crowd(starts(CALLERS, seed, &[Fate::Answered(0.0), Fate::Silent]));
-        let over = (TIMES.hold / 2) as f64 / (100 * MS) as f64;
+        let over = (TIMES.longest_hold / 2) as f64 / (100 * MS) as f64;
         prop_assert!(silent <= held(1.0 / over), "{silent} after silence");
         let silent = crowd(starts(CALLERS, seed, &[Fate::Answered(0.0), Fate::Silent, Fate::Silent]));
-        let over = TIMES.hold as f64 / (100 * MS) as f64;
+        let over = TIMES.longest_hold as f64 / (100 * MS) as f64;
         prop_assert!(silent <= held(1.0 / over), "{silent} after silence twice");
     }
 }
@@ -281,7 +283,7 @@
 #[test]
 fn a_watch_that_broke_is_resumed_in_time_and_a_dead_service_is_spared() {
     let broke = |pacing: &mut Pacing| {
-        let at = pass(pacing, Fate::Broke(0.0));
+        let at = pass(pacing, Fate::ConnectionLost(0.0));
         let pause = due(pacing) - at;
         pass(pacing, Fate::Silent);
         pause
--- a/tests/windows.rs
+++ b/tests/windows.rs
@@ -301,7 +301,7 @@
                     let (outcome, took, report) = (Outcome::Served, MS, None);
                     self.later(MS, Happens::In(Input::Probed { pool, server, outcome, took, report }));
                 }
-                Output::Hold(..)
+                Output::HoldPlace(..)
                 | Output::CloseIdle(..)
                 | Output::Log(_)
                 | Output::Explain(_)
@@ -387,7 +387,7 @@
             world.run(world.now + after * MS / 4);
             if leaves && world.truth[&id].answered.is_none() && !world.truth[&id].begun {
                 world.answer(id);
-                world.input(Input::Gone(id));
+                world.input(Input::ClientGone(id));
             }
             world.run(world.now + 10 * MS);
         }
