--- a/src/recovery/drain.rs
+++ b/src/recovery/drain.rs
@@ -1,4 +1,4 @@
-//! The program's phases, and what each means for the connections of its clients.
+//! The phases of the program from start to shutdown, and which client connections are closed in each.
 
 use std::collections::BTreeMap;
 
@@ -6,36 +6,39 @@
 
 use crate::interface::Micros;
 
-/// Where the program stands. The order is that of a life; only from `Away` there is a way back.
+/// The phase of the program. Phases are ordered from start to end; the only transition back is from `Away` to `Serving`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Nothing is promised yet.
+    /// The program is not ready to serve yet.
     Starting,
     /// Clients are served.
     Serving,
-    /// Operators have sent the clients away: whoever comes is still served, but nobody is invited or kept.
+    /// Operators have sent the clients away: requests that arrive are still served, but the program reports itself as
+    /// unavailable to new clients and closes idle connections.
     Away,
-    /// It was told to end: whoever comes is still served, but nobody is invited or kept.
+    /// The program has been told to terminate: requests that arrive are still served, but the program reports itself as
+    /// unavailable and closes idle connections.
     Draining,
-    /// No new connections; what is open is finished.
+    /// No new connections are accepted; open requests are finished.
     Closing,
-    /// All is answered, or the time is over.
+    /// All requests are answered, or the time for that is over.
     Ended,
 }
 
 impl Phase {
-    /// Whether the program does its work, whoever is invited.
+    /// Returns true if the program serves requests normally, whether or not it invites new clients.
     pub fn serves(self) -> bool {
         matches!(self, Phase::Serving | Phase::Away)
     }
 
-    /// Whether each answer is the last one on its connection.
+    /// Returns true if each answer is the last one on its connection.
     pub fn closes_after_answer(self) -> bool {
         self >= Phase::Away
     }
 
-    /// Whether new connections are taken from such a socket. Whoever waits at a shared one is another process's
-    /// too: they are taken only by one that can serve, and not for a moment after it was told to end.
+    /// Returns true if new connections are accepted from this socket. Connections that wait at a shared socket can also be
+    /// accepted by another process, so this process accepts them only while it can serve, and stops as soon as it is
+    /// told to terminate.
     pub fn accepts_from(self, socket: Socket) -> bool {
         match socket {
             Socket::Own => self < Phase::Closing,
@@ -44,12 +47,12 @@
     }
 }
 
-/// The socket at which clients arrive.
+/// The listening socket at which clients connect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Socket {
-    /// Nobody else holds it.
+    /// No other process holds it.
     Own,
-    /// Other processes take connections from it as well.
+    /// Other processes accept connections from it as well.
     Shared,
 }
 
@@ -57,179 +60,195 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// What operators call.
+/// A command of the operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Send clients away.
+    /// Sends the clients away.
     Away,
-    /// Back to work.
+    /// Resumes service.
     Resume,
 }
 
-/// A call that can't be followed any more.
+/// The error for a call that can't be followed because the process has been told to terminate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("this process has been told to end")]
 pub struct AlreadyTerminating;
 
-/// What happens.
+/// An event that [`Drain`] is given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Input {
     /// The program can serve.
     Ready,
-    /// It is told to end.
+    /// The program is told to terminate.
     Terminate,
-    /// All that was taken is answered, or the time is over.
+    /// All accepted requests are answered, or the time for that is over.
     Finished,
-    /// A connection has been taken.
+    /// A connection has been accepted.
     Opened(ConnectionId),
-    /// A request begins on it.
+    /// A request begins on this connection.
     RequestStarted(ConnectionId),
-    /// Its request is answered, and all of the answer written.
+    /// The request of this connection is answered, and the whole answer is written.
     Answered(ConnectionId),
-    /// It has ended.
+    /// This connection has ended.
     Ended(ConnectionId),
     /// Time has passed.
     Tick,
 }
 
-/// What is to be done.
+/// What the caller has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// The program enters a phase.
+    /// Enter this phase.
     Enter(Phase),
-    /// A connection on which no request is open is to be closed.
+    /// Close this connection, on which no request is open.
     Close(ConnectionId),
 }
 
-/// How clients are parted with.
-struct Terms {
-    /// Resting connections are kept for so long: whose client is sent off sooner would come back here, as those
-    /// who send clients on have not heard yet.
-    keep: Micros,
-    /// One that has rested for less may be about to be used again by whoever has just read an answer.
-    rest: Micros,
-    /// Nothing rests beyond this.
-    within: Micros,
+/// When idle connections are closed during a drain.
+struct CloseTimes {
+    /// Idle connections stay open for this long after the drain began: a client whose connection is closed sooner would
+    /// connect here again, as whatever directs clients to this process has not noticed the drain yet.
+    min_open: Micros,
+    /// A connection stays open until it has been idle for this long: a client that has just read an answer may be about
+    /// to send another request on it.
+    min_idle: Micros,
+    /// This long after the drain began no connection that has been used before stays idle any longer.
+    max_open: Micros,
 }
 
-/// After the call new connections come until `/up` has said no (asked every 0.1 s) and 0.2 s more. At 4 s nothing
-/// may rest, nor a request be open that came in the last 2 s.
-const AWAY: Terms = Terms { keep: 400_000, rest: 200_000, within: 1_800_000 };
-/// Where another process takes over at the same socket, nobody comes back here.
-const REPLACED: Terms = Terms { keep: 0, rest: 100_000, within: ENDING };
-/// At SIGTERM new connections come for up to 0.4 s.
-const ENDED: Terms = Terms { keep: 400_000, rest: 100_000, within: ENDING };
-/// For so long after SIGTERM requests are still taken: one that comes later than 0.7 s after it has to be answered
+/// New connections arrive until `/up` has answered no (it is polled every 0.1 s), and for 0.2 s more. At 4 s no
+/// connection may be idle, and no request may be open that arrived in the last 2 s.
+const AWAY_TIMES: CloseTimes = CloseTimes { min_open: 400_000, min_idle: 200_000, max_open: 1_800_000 };
+/// Where another process accepts at the same socket, clients don't connect to this one again.
+const SHARED_SOCKET_TIMES: CloseTimes =
+    CloseTimes { min_open: 0, min_idle: 100_000, max_open: ACCEPT_AFTER_SIGTERM };
+/// New connections arrive for up to 0.4 s after SIGTERM.
+const OWN_SOCKET_TIMES: CloseTimes =
+    CloseTimes { min_open: 400_000, min_idle: 100_000, max_open: ACCEPT_AFTER_SIGTERM };
+/// How long after SIGTERM requests are still accepted: one that arrives later than 0.7 s after it has to be answered
 /// before SIGKILL, whatever its deadline is.
-const ENDING: Micros = 600_000;
+const ACCEPT_AFTER_SIGTERM: Micros = 600_000;
 
-struct Rest {
+struct IdleConnection {
     since: Micros,
-    /// It has never asked: its first request may be on the way.
-    fresh: bool,
+    /// No request has arrived on it yet; the first one may be on its way.
+    unused: bool,
 }
 
-/// See the module's text.
+/// The state machine of the phases and of the connections that are idle.
 pub struct Drain {
     phase: Phase,
     socket: Socket,
-    /// When the present parting began.
-    since: Micros,
-    /// It was sent away before it could serve.
-    away_first: bool,
-    resting: BTreeMap<ConnectionId, Rest>,
+    /// When the current drain began.
+    drain_since: Micros,
+    /// Operators sent the clients away before the program could serve.
+    away_on_start: bool,
+    idle: BTreeMap<ConnectionId, IdleConnection>,
 }
 
 impl Drain {
-    /// One that is starting.
+    /// Creates the state machine of a program that is starting and accepts its clients at this kind of socket.
     pub fn new(socket: Socket) -> Self {
-        Drain { phase: Phase::Starting, socket, since: 0, away_first: false, resting: BTreeMap::new() }
+        Drain { phase: Phase::Starting, socket, drain_since: 0, away_on_start: false, idle: BTreeMap::new() }
     }
 
-    /// Where the program stands.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// When [`Input::Tick`] is next due.
+    /// Returns the time at which [`Input::Tick`] is due next.
     pub fn next_due(&self) -> Option<Micros> {
-        let terms = self.terms()?;
-        let closing = (self.phase == Phase::Draining).then_some(self.since + ENDING);
-        self.resting.values().map(|rest| self.due(&terms, rest)).chain(closing).min()
+        let times = self.close_times()?;
+        let closing = (self.phase == Phase::Draining).then_some(self.drain_since + ACCEPT_AFTER_SIGTERM);
+        self.idle.values().map(|connection| self.close_at(&times, connection)).chain(closing).min()
     }
 
-    /// Follows an operator's call. Calls that ask for what is so already are followed, and change nothing: above
-    /// all, the time of a parting runs from its first call.
+    /// Follows an operator's call. A call for the state that holds already succeeds and changes nothing; in particular, the
+    /// times of a drain count from its first call.
     ///
     /// # Errors
     ///
-    /// There is no way back from the end.
-    pub fn call(&mut self, now: Micros, call: Call, out: &mut Vec<Output>) -> Result<(), AlreadyTerminating> {
+    /// Service can't be resumed once the process has been told to terminate.
+    pub fn call(
+        &mut self,
+        now: Micros,
+        call: Call,
+        outputs: &mut Vec<Output>,
+    ) -> Result<(), AlreadyTerminating> {
         match (call, self.phase) {
-            (Call::Away, Phase::Starting) => self.away_first = true,
-            (Call::Resume, Phase::Starting) => self.away_first = false,
-            (Call::Away, Phase::Serving) => self.part(now, Phase::Away, out),
-            (Call::Resume, Phase::Away) => self.enter(Phase::Serving, out),
+            (Call::Away, Phase::Starting) => self.away_on_start = true,
+            (Call::Resume, Phase::Starting) => self.away_on_start = false,
+            (Call::Away, Phase::Serving) => self.begin_drain(now, Phase::Away, outputs),
+            (Call::Resume, Phase::Away) => self.enter(Phase::Serving, outputs),
             (Call::Away, _) | (Call::Resume, Phase::Serving) => {}
             (Call::Resume, _) => return Err(AlreadyTerminating),
         }
         Ok(())
     }
 
-    /// Takes one event.
-    pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
+    /// Applies one event.
+    pub fn handle(&mut self, now: Micros, input: Input, outputs: &mut Vec<Output>) {
         match input {
-            Input::Ready if self.phase == Phase::Starting && self.away_first => {
-                self.part(now, Phase::Away, out)
+            Input::Ready if self.phase == Phase::Starting && self.away_on_start => {
+                self.begin_drain(now, Phase::Away, outputs)
+            }
+            Input::Ready if self.phase == Phase::Starting => self.enter(Phase::Serving, outputs),
+            Input::Terminate if self.phase < Phase::Draining => {
+                self.begin_drain(now, Phase::Draining, outputs)
             }
-            Input::Ready if self.phase == Phase::Starting => self.enter(Phase::Serving, out),
-            Input::Terminate if self.phase < Phase::Draining => self.part(now, Phase::Draining, out),
-            Input::Finished if self.phase >= Phase::Draining => self.enter(Phase::Ended, out),
+            Input::Finished if self.phase >= Phase::Draining => self.enter(Phase::Ended, outputs),
             Input::Ready | Input::Terminate | Input::Finished | Input::Tick => {}
-            Input::Opened(id) => drop(self.resting.insert(id, Rest { since: now, fresh: true })),
-            Input::Answered(id) => drop(self.resting.insert(id, Rest { since: now, fresh: false })),
-            Input::RequestStarted(id) | Input::Ended(id) => drop(self.resting.remove(&id)),
+            Input::Opened(id) => drop(self.idle.insert(id, IdleConnection { since: now, unused: true })),
+            Input::Answered(id) => drop(self.idle.insert(id, IdleConnection { since: now, unused: false })),
+            Input::RequestStarted(id) | Input::Ended(id) => drop(self.idle.remove(&id)),
         }
-        self.close(now, out);
+        self.close_due(now, outputs);
     }
 
-    fn enter(&mut self, phase: Phase, out: &mut Vec<Output>) {
+    fn enter(&mut self, phase: Phase, outputs: &mut Vec<Output>) {
         if std::mem::replace(&mut self.phase, phase) != phase {
-            out.push(Output::Enter(phase));
+            outputs.push(Output::Enter(phase));
         }
     }
 
-    fn part(&mut self, now: Micros, phase: Phase, out: &mut Vec<Output>) {
-        self.since = now;
-        self.enter(phase, out);
+    fn begin_drain(&mut self, now: Micros, phase: Phase, outputs: &mut Vec<Output>) {
+        self.drain_since = now;
+        self.enter(phase, outputs);
     }
 
-    fn terms(&self) -> Option<Terms> {
+    fn close_times(&self) -> Option<CloseTimes> {
         match (self.phase, self.socket) {
             (Phase::Starting | Phase::Serving | Phase::Ended, _) => None,
-            (Phase::Away, _) => Some(AWAY),
-            (Phase::Draining | Phase::Closing, Socket::Shared) => Some(REPLACED),
-            (Phase::Draining | Phase::Closing, Socket::Own) => Some(ENDED),
+            (Phase::Away, _) => Some(AWAY_TIMES),
+            (Phase::Draining | Phase::Closing, Socket::Shared) => Some(SHARED_SOCKET_TIMES),
+            (Phase::Draining | Phase::Closing, Socket::Own) => Some(OWN_SOCKET_TIMES),
         }
     }
 
-    /// When a resting connection is closed. After the term a first request still gets its moment, as a connection
-    /// that is taken and closed unheard has lost it; nobody else does.
-    fn due(&self, terms: &Terms, rest: &Rest) -> Micros {
-        let rested = (self.since + terms.keep).max(rest.since + terms.rest);
-        if rest.fresh { rested } else { rested.min((self.since + terms.within).max(rest.since)) }
+    /// Returns the time at which an idle connection is closed. An unused connection gets its minimum idle time even beyond
+    /// the maximum, as closing it sooner could lose a first request that is on its way.
+    fn close_at(&self, times: &CloseTimes, connection: &IdleConnection) -> Micros {
+        let earliest = (self.drain_since + times.min_open).max(connection.since + times.min_idle);
+        if connection.unused {
+            earliest
+        } else {
+            earliest.min((self.drain_since + times.max_open).max(connection.since))
+        }
     }
 
-    fn close(&mut self, now: Micros, out: &mut Vec<Output>) {
-        if self.phase == Phase::Draining && now >= self.since + ENDING {
-            self.enter(Phase::Closing, out);
+    fn close_due(&mut self, now: Micros, outputs: &mut Vec<Output>) {
+        if self.phase == Phase::Draining && now >= self.drain_since + ACCEPT_AFTER_SIGTERM {
+            self.enter(Phase::Closing, outputs);
         }
-        let Some(terms) = self.terms() else { return };
-        let due = |(id, rest): (&ConnectionId, &Rest)| (self.due(&terms, rest) <= now).then_some(*id);
-        let due: Vec<ConnectionId> = self.resting.iter().filter_map(due).collect();
+        let Some(times) = self.close_times() else { return };
+        let due = |(id, connection): (&ConnectionId, &IdleConnection)| {
+            (self.close_at(&times, connection) <= now).then_some(*id)
+        };
+        let due: Vec<ConnectionId> = self.idle.iter().filter_map(due).collect();
         for id in due {
-            self.resting.remove(&id);
-            out.push(Output::Close(id));
+            self.idle.remove(&id);
+            outputs.push(Output::Close(id));
         }
     }
 }
--- a/src/recovery/mod.rs
+++ b/src/recovery/mod.rs
@@ -1,5 +1,6 @@
-//! Taking a process out of service and back, its end, when to ask again what has failed, and the release of
-//! what is held. No I/O and no clock: what happens and the time go in, what is to be done comes out.
+//! Taking the process out of service and back, its shutdown, the pacing of calls to discovery, and the release of what
+//! servers hold for a request. These are state machines without I/O and without a clock: they are given events and the
+//! time, and return what has to be done.
 
 mod drain;
 mod held;
--- a/src/routing/core.rs
+++ b/src/routing/core.rs
@@ -177,7 +177,7 @@
         }
         let took = now.saturating_sub(a.sent);
         open.owner = Some(attempt);
-        open.held.used();
+        open.held.mark_used();
         out.push(Output::Relay(id, attempt));
         self.hear(now, pool, server);
         self.drive(now, pool, Event::Started { request: id, attempt, server, took }, out);
--- a/src/routing/holding.rs
+++ b/src/routing/holding.rs
@@ -43,22 +43,22 @@
         }
         let (held_for, after_close) = (pool.settings.rules.held_for(), after_close(&pool.settings.rules));
         match outcome {
-            Outcome::Read => open.held.read(now, held_for, !open.over),
+            Outcome::Read => open.held.read_ended(now, held_for, !open.over),
             // It never came to its server.
             Outcome::ConnectFailed | Outcome::NotSent => {}
             Outcome::Full if reads => {}
-            Outcome::NoState => open.held.is_gone(),
+            Outcome::NoState => open.held.reported_missing(),
             Outcome::Full | Outcome::Error | Outcome::Served if !reads => {
                 let within = if open.held.is_wanted() { held_for } else { after_close };
-                open.held.left_by_server(now, within);
+                open.held.left_after_fetch(now, within);
             }
             // Nobody is known to have taken the fetch: the time of what waits runs on.
             Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
                 if !reads && open.held.is_wanted() && !open.over => {}
             // A read may have ended well just then, or a fetch have waited for what is free again.
-            _ => open.held.may_be_left(now, after_close),
+            _ => open.held.possibly_left(now, after_close),
         }
-        if let Some(due) = open.held.due() {
+        if let Some(due) = open.held.next_due() {
             self.wake(due, Due::HeldExpiry(id));
         }
     }
@@ -70,7 +70,7 @@
         let rules = &pool.settings.rules;
         let all_asked = rules.release_within - rules.held_for();
         let release_at = now + SEES_CLOSE_BEFORE_READ.min(after_close(rules));
-        open.held.hasten(release_at);
+        open.held.release_by(release_at);
         open.deferred = Some(deferred);
         self.wake(release_at, Due::HeldExpiry(id));
         self.wake(release_at + all_asked, Due::Deferred(id, deferred.attempt));
@@ -149,7 +149,7 @@
             return;
         }
         self.start_release(now, id, out);
-        if due == DueRelease::ReleaseOfWanted {
+        if due == DueRelease::Wanted {
             self.totals.released_unheard += 1;
             self.drive(now, pool, Event::StateReleased(id), out);
         }
--- a/src/routing/state.rs
+++ b/src/routing/state.rs
@@ -38,7 +38,7 @@
 impl Open {
     /// No attempt is out, and what was held is let go of.
     pub(super) fn idle(&self) -> bool {
-        !self.tries.any_out() && self.held.is_nothing()
+        !self.tries.any_out() && self.held.is_empty()
     }
 }
 
