--- a/src/routing/core.rs
+++ b/src/routing/core.rs
@@ -1,186 +1,191 @@
-//! Carries the router's actions from one event to the next. It decides nothing: who is sent what, when to
-//! give up and what to refuse comes out of [`crate::choice`].
+//! Feeds events to the routers and carries out their actions. It makes no routing decisions: which server is sent what,
+//! when to give up and what to refuse is decided by [`crate::choice`].
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use super::evidence::Evidence;
 use super::message::{Admission, CancelReason, ConnectionChoice, Input, Output, PoolId};
-use super::state::{Deferred, Due, Open, Pool};
-use super::totals::{ClassTotals, End, Totals};
-use super::tries::{Attempt, Tries};
+use super::state::{Deferred, OpenRequest, Pool, Timer};
+use super::totals::{ClassTotals, RequestEnd, Totals};
+use super::tries::{Attempt, Attempts};
 use crate::choice::Router;
 use crate::interface::*;
 use crate::recovery::HeldState;
 
-/// The time for a connection to come up: an attempt tells its server the time left at its send. A third of the slack is
-/// for timers that are late.
+/// Returns how long a connection may take to come up. An attempt tells its server the time left at its send, which is too
+/// long by the time that its connection takes. This leaves a third of the slack for timers that fire late.
 pub(super) fn connect_within(rules: &Rules) -> Micros {
     rules.time_left_slack / 3 * 2
 }
 
-fn cancel(request: RequestId, attempt: u32, reason: CancelReason) -> Output {
+fn cancel_output(request: RequestId, attempt: u32, reason: CancelReason) -> Output {
     Output::Cancel { request, attempt, reason }
 }
 
-/// The open requests of all pools, and the timers that drive them.
+/// The state machine of all pools: their open requests and the timers for these.
 #[derive(Default)]
 pub struct Core {
     pub(super) pools: Vec<Pool>,
-    pub(super) open: HashMap<RequestId, Open>,
-    due: BTreeMap<(Micros, u64), Due>,
-    timers: u64,
+    pub(super) requests: HashMap<RequestId, OpenRequest>,
+    timers: BTreeMap<(Micros, u64), Timer>,
+    timer_count: u64,
     pub(super) totals: Totals,
 }
 
 impl Core {
-    /// Adds a router; its requests and servers are named by the id that is returned.
+    /// Adds a pool with its own router, and returns the id that names the pool of a request or server.
     pub fn add_pool(&mut self, settings: Settings, seed: u64, now: Micros) -> Result<PoolId, SettingsError> {
         let router = Router::new(settings.clone(), seed, now)?;
-        let handled = vec![ClassTotals::default(); settings.classes.len()];
-        let (kinds, heard) = (BTreeMap::new(), BTreeMap::new());
-        self.pools.push(Pool { router, settings, kinds, heard, generation: 0, handled });
+        let class_totals = vec![ClassTotals::default(); settings.classes.len()];
+        let (kinds, last_answered) = (BTreeMap::new(), BTreeMap::new());
+        self.pools.push(Pool { router, settings, kinds, last_answered, generation: 0, class_totals });
         Ok(PoolId(self.pools.len() as u8 - 1))
     }
 
-    /// From now on each choice of all routers is told; what is chosen does not change by it.
+    /// Makes all routers report each of their choices as [`Output::Explain`] from now on. The choices stay the same.
     pub fn observe(&mut self) {
         self.pools.iter_mut().for_each(|pool| pool.router.observe());
     }
 
-    /// When [`Core::tick`] is next due.
+    /// Returns the time at which [`Core::tick`] is due next.
     pub fn next_due(&self) -> Option<Micros> {
-        self.due.keys().next().map(|(at, _)| *at)
+        self.timers.keys().next().map(|(at, _)| *at)
     }
 
-    /// The counters.
+    /// Returns the counters over all pools.
     pub fn totals(&self, now: Micros) -> Totals {
         let fleets = self.pools.iter().map(|pool| pool.router.fleet(now));
         let (known, avoided) = fleets.fold((0, 0), |(a, b), (known, avoided)| (a + known, b + avoided));
-        let open = self.open.values().filter(|open| !open.over).count();
+        let open = self.requests.values().filter(|open| !open.settled).count();
         let [open, known, avoided] = [open, known, avoided].map(|count| count as u64);
         Totals { open, known, avoided, ..self.totals }
     }
 
-    /// How a pool's requests have ended, by class.
+    /// Returns how a pool's requests have ended, by class.
     pub fn class_totals(&self, pool: PoolId) -> &[ClassTotals] {
-        self.pools.get(usize::from(pool.0)).map_or(&[], |pool| &pool.handled)
+        self.pools.get(usize::from(pool.0)).map_or(&[], |pool| &pool.class_totals)
     }
 
-    fn count(&mut self, pool: PoolId, class: ClassId, end: End) {
-        let handled = self.pools.get_mut(usize::from(pool.0));
-        // A request of a class that does not exist fails, and counts under none.
-        if let Some(handled) = handled.and_then(|pool| pool.handled.get_mut(usize::from(class.0))) {
-            handled.count(end);
+    fn count_end(&mut self, pool: PoolId, class: ClassId, end: RequestEnd) {
+        let class_totals = self.pools.get_mut(usize::from(pool.0));
+        // A request of a class that does not exist fails, and is counted for no class.
+        if let Some(class_totals) =
+            class_totals.and_then(|pool| pool.class_totals.get_mut(usize::from(class.0)))
+        {
+            class_totals.count(end);
         }
         self.totals.count(end);
     }
 
     /// Runs the timers that are due.
-    pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
-        while let Some(first) = self.due.first_entry().filter(|e| e.key().0 <= now) {
+    pub fn tick(&mut self, now: Micros, outputs: &mut Vec<Output>) {
+        while let Some(first) = self.timers.first_entry().filter(|e| e.key().0 <= now) {
             match first.remove() {
-                Due::Router(pool, timer) => self.drive(now, pool, Event::Timer(timer), out),
-                Due::GiveUp(id, attempt) => {
-                    let Some(open) = self.open.get_mut(&id) else { continue };
-                    let started = open.owner == Some(attempt);
-                    let Some(a) = open.tries.out(attempt) else { continue };
-                    if !started && !a.cancelled {
+                Timer::Router(pool, timer) => self.drive(now, pool, Event::Timer(timer), outputs),
+                Timer::GiveUp(id, attempt) => {
+                    let Some(open) = self.requests.get_mut(&id) else { continue };
+                    let is_answering = open.answering == Some(attempt);
+                    let Some(a) = open.attempts.in_flight(attempt) else { continue };
+                    if !is_answering && !a.cancelled {
                         (a.timed_out, a.cancelled) = (true, true);
-                        self.call_off(now, id, attempt, CancelReason::TimeLimit, out);
+                        self.cancel_attempt(now, id, attempt, CancelReason::TimeLimit, outputs);
                     }
                 }
-                Due::Connect(id, attempt) => {
-                    let attempt_out = self.open.get_mut(&id).and_then(|open| open.tries.out(attempt));
-                    let Some(a) = attempt_out.filter(|a| a.unwritten() && !a.cancelled) else { continue };
-                    (a.cut, a.cancelled) = (true, true);
+                Timer::Connect(id, attempt) => {
+                    let in_flight =
+                        self.requests.get_mut(&id).and_then(|open| open.attempts.in_flight(attempt));
+                    let Some(a) = in_flight.filter(|a| a.unwritten() && !a.cancelled) else { continue };
+                    (a.connect_timed_out, a.cancelled) = (true, true);
                     self.totals.unreachable += 1;
-                    out.push(cancel(id, attempt, CancelReason::NotWrittenInTime));
+                    outputs.push(cancel_output(id, attempt, CancelReason::NotWrittenInTime));
+                }
+                Timer::HeldExpiry(id) => self.on_held_due(now, id, outputs),
+                Timer::Deferred(id, attempt) => self.send_deferred(now, id, Some(attempt), outputs),
+                Timer::Release(id) => {
+                    self.advance_release(now, id, |release, targets| release.tick(now, targets), outputs)
                 }
-                Due::HeldExpiry(id) => self.on_held_due(now, id, out),
-                Due::Deferred(id, attempt) => self.send_deferred(now, id, Some(attempt), out),
-                Due::Release(id) => self.ask_to_release(now, id, |release, ask| release.tick(now, ask), out),
             }
         }
     }
 
-    /// Takes one event.
-    pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
+    /// Applies one event.
+    pub fn handle(&mut self, now: Micros, input: Input, outputs: &mut Vec<Output>) {
         match input {
-            Input::Request(admission) => self.on_request(now, admission, out),
+            Input::Request(admission) => self.on_request(now, admission, outputs),
             Input::List(pool, generation, update) => {
-                let Some(known) = self.pools.get_mut(usize::from(pool.0)) else { return };
-                known.generation = generation;
+                let Some(pool_state) = self.pools.get_mut(usize::from(pool.0)) else { return };
+                pool_state.generation = generation;
                 if matches!(update.scope, ListScope::Full | ListScope::Cached) {
-                    known.kinds.clear();
+                    pool_state.kinds.clear();
                 }
-                known.kinds.extend(update.entries.iter().map(|e| (e.id, e.kind)));
-                known.heard.retain(|server, _| known.kinds.contains_key(server));
-                self.drive(now, pool, Event::List(update), out);
+                pool_state.kinds.extend(update.entries.iter().map(|e| (e.id, e.kind)));
+                pool_state.last_answered.retain(|server, _| pool_state.kinds.contains_key(server));
+                self.drive(now, pool, Event::List(update), outputs);
             }
-            Input::Started(id, attempt) => self.on_started(now, id, attempt, out),
+            Input::Started(id, attempt) => self.on_started(now, id, attempt, outputs),
             Input::Written(id, attempt) => {
-                let open = self.open.get_mut(&id);
-                let attempt = open.and_then(|open| open.tries.all.get_mut(attempt as usize));
-                let written = attempt.is_some_and(|a| a.learn(Evidence::Written));
+                let open = self.requests.get_mut(&id);
+                let attempt = open.and_then(|open| open.attempts.all.get_mut(attempt as usize));
+                let written = attempt.is_some_and(|a| a.record_evidence(Evidence::Written));
                 self.totals.written += u64::from(written);
             }
             Input::Ended { request, attempt, outcome, kept_tokens, report } => {
-                self.on_ended(now, request, attempt, (outcome, kept_tokens, report), out);
+                self.on_ended(now, request, attempt, (outcome, kept_tokens, report), outputs);
             }
             Input::Probed { pool, server, outcome, took, report } => {
                 if matches!(outcome, Outcome::Served | Outcome::Error) {
-                    self.hear(now, pool, server);
+                    self.record_answer(now, pool, server);
                 }
-                self.drive(now, pool, Event::Probed { server, outcome, took, report }, out);
+                self.drive(now, pool, Event::Probed { server, outcome, took, report }, outputs);
             }
             Input::Released(id, took) => {
-                self.ask_to_release(now, id, |release, ask| release.ended(now, took, ask), out);
+                self.advance_release(now, id, |release, targets| release.ended(now, took, targets), outputs);
             }
             Input::Place(request, server, held) => {
-                if let Some(pool) = self.open.get(&request).map(|open| open.pool) {
-                    self.drive(now, pool, Event::Place { request, server, held }, out);
+                if let Some(pool) = self.requests.get(&request).map(|open| open.pool) {
+                    self.drive(now, pool, Event::Place { request, server, held }, outputs);
                 }
             }
             Input::ClientGone(id) => {
-                let Some(open) = self.open.get_mut(&id).filter(|open| !open.over) else { return };
+                let Some(open) = self.requests.get_mut(&id).filter(|open| !open.settled) else { return };
                 let pool = open.pool;
-                open.over = true;
+                open.settled = true;
                 self.totals.gone += 1;
-                self.drive(now, pool, Event::Gone(id), out);
+                self.drive(now, pool, Event::Gone(id), outputs);
             }
         }
     }
 
-    fn on_request(&mut self, now: Micros, admission: Admission, out: &mut Vec<Output>) {
+    fn on_request(&mut self, now: Micros, admission: Admission, outputs: &mut Vec<Output>) {
         let Admission { pool, mut request, time_left } = admission;
         request.expires = now.saturating_add(time_left);
         let (id, class, expires) = (request.id, request.class, request.expires);
-        let (tries, held, owner, over) = (Tries::default(), HeldState::default(), None, false);
-        let open = Open { pool, class, expires, tries, owner, over, held, deferred: None };
-        self.open.insert(id, open);
+        let (attempts, held, answering, settled) = (Attempts::default(), HeldState::default(), None, false);
+        let open = OpenRequest { pool, class, expires, attempts, answering, settled, held, deferred: None };
+        self.requests.insert(id, open);
         self.totals.taken += 1;
-        self.drive(now, pool, Event::Request(request), out);
+        self.drive(now, pool, Event::Request(request), outputs);
     }
 
-    fn on_started(&mut self, now: Micros, id: RequestId, attempt: u32, out: &mut Vec<Output>) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let (pool, owned) = (open.pool, open.over || open.owner.is_some());
-        let Some(a) = open.tries.out(attempt) else { return };
+    fn on_started(&mut self, now: Micros, id: RequestId, attempt: u32, outputs: &mut Vec<Output>) {
+        let Some(open) = self.requests.get_mut(&id) else { return };
+        let (pool, already_answered) = (open.pool, open.settled || open.answering.is_some());
+        let Some(a) = open.attempts.in_flight(attempt) else { return };
         let server = a.server;
-        a.learn(Evidence::Heard);
-        if owned || a.cancelled {
-            // The client has its answer already: a second one must not reach it.
+        a.record_evidence(Evidence::Heard);
+        if already_answered || a.cancelled {
+            // A second answer must not reach the client.
             if !std::mem::replace(&mut a.cancelled, true) {
-                out.push(cancel(id, attempt, CancelReason::AnsweredByAnother));
+                outputs.push(cancel_output(id, attempt, CancelReason::AnsweredByAnother));
             }
             return;
         }
         let took = now.saturating_sub(a.sent);
-        open.owner = Some(attempt);
+        open.answering = Some(attempt);
         open.held.mark_used();
-        out.push(Output::Relay(id, attempt));
-        self.hear(now, pool, server);
-        self.drive(now, pool, Event::Started { request: id, attempt, server, took }, out);
+        outputs.push(Output::Relay(id, attempt));
+        self.record_answer(now, pool, server);
+        self.drive(now, pool, Event::Started { request: id, attempt, server, took }, outputs);
     }
 
     fn on_ended(
@@ -189,76 +194,78 @@
         id: RequestId,
         attempt: u32,
         (mut outcome, kept_tokens, report): (Outcome, u64, Option<Report>),
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let owned = open.owner == Some(attempt);
-        let Some(a) = open.tries.out(attempt) else { return };
+        let Some(open) = self.requests.get_mut(&id) else { return };
+        let is_answering = open.answering == Some(attempt);
+        let Some(a) = open.attempts.in_flight(attempt) else { return };
         outcome = match outcome {
-            // Only readers read; whatever this is, it proves nothing of what its server has done.
+            // Only readers read: from any other server this answer doesn't prove what it has done.
             Outcome::Read if !a.reads => Outcome::Error,
-            // It was called off for a reason that says nothing of its server.
-            Outcome::ConnectFailed if a.cancelled && !a.cut && !a.timed_out => Outcome::Cancelled,
+            // It was cancelled for a reason that says nothing about its server.
+            Outcome::ConnectFailed if a.cancelled && !a.connect_timed_out && !a.timed_out => {
+                Outcome::Cancelled
+            }
             Outcome::Cancelled if a.timed_out => Outcome::TimedOut,
             outcome => outcome,
         };
-        a.ended = Some(outcome);
+        a.outcome = Some(outcome);
         let (pool, class) = (open.pool, open.class);
         let (server, took) = (a.server, now.saturating_sub(a.sent));
-        let ends = owned && !open.over;
-        open.over |= owned;
-        let settled = open.over;
-        // Only what was sent whole ends so, and that it was written need not have been told yet.
-        let known = match outcome {
+        let ends_request = is_answering && !open.settled;
+        open.settled |= is_answering;
+        let settled = open.settled;
+        // Only attempts that were sent completely end like this, and the report of the write may not have arrived yet.
+        let evidence = match outcome {
             Outcome::Reset => Evidence::Written,
             outcome if outcome.is_told() => Evidence::Answered,
             _ => a.evidence,
         };
-        let written = a.learn(known);
+        let written = a.record_evidence(evidence);
         self.totals.written += u64::from(written);
-        self.note_held(now, id, attempt, outcome);
+        self.record_held(now, id, attempt, outcome);
         if outcome.is_told() {
-            self.hear(now, pool, server);
+            self.record_answer(now, pool, server);
         }
         match outcome {
-            _ if !ends => {}
-            Outcome::Served => self.count(pool, class, End::Served),
-            _ => self.count(pool, class, End::Broken),
+            _ if !ends_request => {}
+            Outcome::Served => self.count_end(pool, class, RequestEnd::Served),
+            _ => self.count_end(pool, class, RequestEnd::Broken),
         }
         let ended = Ended { request: id, attempt, server, outcome, kept_tokens, settled, took, report };
-        self.drive(now, pool, Event::Ended(ended), out);
+        self.drive(now, pool, Event::Ended(ended), outputs);
     }
 
     /// Forgets a request once its answer is given and its last attempt has ended.
-    pub(super) fn forget(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        if self.open.get(&id).is_some_and(|open| open.over && open.idle()) {
-            self.open.remove(&id);
-            out.push(Output::Forget(id));
+    pub(super) fn forget(&mut self, id: RequestId, outputs: &mut Vec<Output>) {
+        if self.requests.get(&id).is_some_and(|open| open.settled && open.nothing_pending()) {
+            self.requests.remove(&id);
+            outputs.push(Output::Forget(id));
         }
     }
 
-    /// Feeds an event to a pool's router and carries out its actions, and what follows from them.
-    pub(super) fn drive(&mut self, now: Micros, pool: PoolId, event: Event, out: &mut Vec<Output>) {
+    /// Feeds an event to a pool's router, carries out its actions, and feeds it the events that result from these.
+    pub(super) fn drive(&mut self, now: Micros, pool: PoolId, event: Event, outputs: &mut Vec<Output>) {
         let (mut events, mut actions) = (VecDeque::from([event]), Vec::new());
-        let mut touched = Vec::new();
+        let mut forget_candidates = Vec::new();
         while let Some(event) = events.pop_front() {
-            let Some(known) = self.pools.get_mut(usize::from(pool.0)) else { return };
-            touched.extend(match &event {
+            let Some(pool_state) = self.pools.get_mut(usize::from(pool.0)) else { return };
+            forget_candidates.extend(match &event {
                 Event::Ended(ended) => Some(ended.request),
                 Event::Gone(id) => Some(*id),
                 _ => None,
             });
-            known.router.handle(now, event, &mut actions);
+            pool_state.router.handle(now, event, &mut actions);
             for action in actions.drain(..) {
                 if let Action::Refuse { request: id, .. } | Action::Fail(id) = action {
-                    touched.push(id);
+                    forget_candidates.push(id);
                 }
-                events.extend(self.carry_out(now, pool, action, out));
+                events.extend(self.carry_out(now, pool, action, outputs));
             }
         }
-        // Only now: a release may follow the answer, and needs the request still to be known.
-        for id in touched {
-            self.forget(id, out);
+        // Requests are forgotten only after all actions: a release may follow the answer, and needs the request.
+        for id in forget_candidates {
+            self.forget(id, outputs);
         }
     }
 
@@ -267,76 +274,79 @@
         now: Micros,
         pool: PoolId,
         action: Action,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) -> Option<Event> {
         match action {
             Action::Send { request, server, timeout } => {
-                return self.send(now, pool, (request, server, timeout), out);
+                return self.send(now, pool, (request, server, timeout), outputs);
             }
             Action::Cancel { request, attempt } => {
-                let open = self.open.get_mut(&request)?;
-                let started = open.owner == Some(attempt);
-                let a = open.tries.out(attempt).filter(|_| !started)?;
+                let open = self.requests.get_mut(&request)?;
+                let is_answering = open.answering == Some(attempt);
+                let a = open.attempts.in_flight(attempt).filter(|_| !is_answering)?;
                 if !std::mem::replace(&mut a.cancelled, true) {
                     if let Some(ended) = self.drop_deferred(now, request, attempt) {
                         return Some(ended);
                     }
-                    out.push(cancel(request, attempt, CancelReason::GivenUp));
+                    outputs.push(cancel_output(request, attempt, CancelReason::GivenUp));
                 }
             }
             Action::Refuse { request, retry_after } => {
-                let class = self.close(request)?.class;
-                self.count(pool, class, End::Refused);
-                out.push(Output::Refuse(request, retry_after));
+                let class = self.settle(request)?.class;
+                self.count_end(pool, class, RequestEnd::Refused);
+                outputs.push(Output::Refuse(request, retry_after));
             }
             Action::Fail(request) => {
-                let open = self.close(request)?;
-                let ran = |a: &Attempt| !a.reads && !a.ended.is_some_and(Outcome::never_ran);
-                let (class, may_have_run) = (open.class, open.tries.all.iter().any(ran));
+                let open = self.settle(request)?;
+                let ran = |a: &Attempt| !a.reads && !a.outcome.is_some_and(Outcome::never_ran);
+                let (class, may_have_run) = (open.class, open.attempts.all.iter().any(ran));
                 let step = self.pools.get(usize::from(pool.0)).map_or(0, |p| p.settings.step);
-                let overdue = now + step >= self.open.get(&request)?.expires;
-                self.count(pool, class, End::Failed);
-                out.push(Output::Fail { request, may_have_run, overdue });
+                let overdue = now + step >= self.requests.get(&request)?.expires;
+                self.count_end(pool, class, RequestEnd::Failed);
+                outputs.push(Output::Fail { request, may_have_run, overdue });
             }
             Action::Move(request) => {
-                let open = self.open.get_mut(&request).filter(|open| open.owner.is_some() && !open.over)?;
-                open.over = true;
+                let open = self
+                    .requests
+                    .get_mut(&request)
+                    .filter(|open| open.answering.is_some() && !open.settled)?;
+                open.settled = true;
                 let class = open.class;
-                // Closing the attempt breaks the client's stream off.
-                let attempt = open.owner?;
-                let a = open.tries.all.get_mut(attempt as usize)?;
+                // Closing the attempt's connection breaks off the client's stream.
+                let attempt = open.answering?;
+                let a = open.attempts.all.get_mut(attempt as usize)?;
                 a.cancelled = true;
-                self.count(pool, class, End::Broken);
-                out.push(cancel(request, attempt, CancelReason::Moved));
+                self.count_end(pool, class, RequestEnd::Broken);
+                outputs.push(cancel_output(request, attempt, CancelReason::Moved));
             }
-            Action::Release(request) => self.start_release(now, request, out),
-            Action::HoldPlace { request, server } => out.push(Output::HoldPlace(pool, request, server)),
-            Action::SetTimer { at, timer } => self.wake(at, Due::Router(pool, timer)),
+            Action::Release(request) => self.start_release(now, request, outputs),
+            Action::HoldPlace { request, server } => outputs.push(Output::HoldPlace(pool, request, server)),
+            Action::SetTimer { at, timer } => self.set_timer(at, Timer::Router(pool, timer)),
             Action::Probe(server) => {
                 self.totals.probes += 1;
-                out.push(Output::Probe(pool, server));
+                outputs.push(Output::Probe(pool, server));
             }
-            Action::CloseIdle(server) => out.push(Output::CloseIdle(pool, server)),
-            // The list is watched without a pause, and asked for whole whenever changes were missed.
+            Action::CloseIdle(server) => outputs.push(Output::CloseIdle(pool, server)),
+            // The list is watched all the time, and fetched in full whenever changes were missed.
             Action::Watch(_) | Action::FetchList => {}
-            // Conductors of this platform share nothing.
+            // The conductors of this platform exchange no messages.
             Action::Tell { .. } => {}
-            Action::Log(text) => out.push(Output::Log(text)),
-            Action::Ejected(server) => out.push(Output::Ejected(pool, server)),
-            Action::Explain(choice) => out.push(Output::Explain(choice)),
+            Action::Log(text) => outputs.push(Output::Log(text)),
+            Action::Ejected(server) => outputs.push(Output::Ejected(pool, server)),
+            Action::Explain(choice) => outputs.push(Output::Explain(choice)),
         }
         None
     }
 
-    pub(super) fn wake(&mut self, at: Micros, due: Due) {
-        self.timers += 1;
-        self.due.insert((at, self.timers), due);
+    pub(super) fn set_timer(&mut self, at: Micros, timer: Timer) {
+        self.timer_count += 1;
+        self.timers.insert((at, self.timer_count), timer);
     }
 
-    /// Marks a request as answered; nothing comes back if it was so before, so that no answer goes out twice.
-    fn close(&mut self, id: RequestId) -> Option<&Open> {
-        let open = self.open.get_mut(&id).filter(|open| !open.over && open.owner.is_none())?;
-        open.over = true;
+    /// Marks a request as answered. Returns None if it was answered before, so that no second answer is sent.
+    fn settle(&mut self, id: RequestId) -> Option<&OpenRequest> {
+        let open = self.requests.get_mut(&id).filter(|open| !open.settled && open.answering.is_none())?;
+        open.settled = true;
         Some(open)
     }
 
@@ -345,59 +355,64 @@
         now: Micros,
         pool: PoolId,
         (request, server, timeout): (RequestId, ServerId, Option<Micros>),
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) -> Option<Event> {
-        let known = self.pools.get(usize::from(pool.0))?;
-        let kind = known.kinds.get(&server).and_then(|k| known.settings.kinds.get(usize::from(k.0)));
+        let pool_state = self.pools.get(usize::from(pool.0))?;
+        let kind =
+            pool_state.kinds.get(&server).and_then(|k| pool_state.settings.kinds.get(usize::from(k.0)));
         let reads = kind.is_some_and(|kind| kind.role == Role::Reader);
-        let most = known.settings.limits.attempts as usize;
-        let open = self.open.get_mut(&request)?;
-        let attempt = open.tries.all.len() as u32;
-        let give_up = timeout.map_or(open.expires, |t| open.expires.min(now.saturating_add(t)));
-        // Guards the rules against a send that must not go out: too many, too late, or after the answer.
-        let moot = open.over || open.owner.is_some() || open.tries.all.len() >= most || give_up <= now;
-        let ended = moot.then_some(Outcome::NotSent);
-        let class = known.settings.classes.get(usize::from(open.class.0));
-        let repeats_until = class.and_then(|class| open.tries.repeats_until(class));
-        // The way to the server takes time, too.
-        let repeat_by = repeats_until.map(|until| until.saturating_sub(known.settings.step));
-        let fetch_by = open.fetch_by(now, &known.settings.rules).filter(|_| !reads);
-        // A connection that has fallen silent would keep what an earlier read left waiting.
-        let connection = if open.tries.any_reads() { ConnectionChoice::New } else { ConnectionChoice::Any };
+        let max_attempts = pool_state.settings.limits.attempts as usize;
+        let open = self.requests.get_mut(&request)?;
+        let attempt = open.attempts.all.len() as u32;
+        let give_up_at = timeout.map_or(open.expires, |t| open.expires.min(now.saturating_add(t)));
+        // Enforces the rules against a send that must not go out: one too many, too late, or after the answer.
+        let not_allowed = open.settled
+            || open.answering.is_some()
+            || open.attempts.all.len() >= max_attempts
+            || give_up_at <= now;
+        let outcome = not_allowed.then_some(Outcome::NotSent);
+        let class = pool_state.settings.classes.get(usize::from(open.class.0));
+        let repeats_until = class.and_then(|class| open.attempts.repeats_until(class));
+        // The network delay to the server counts as well.
+        let repeat_by = repeats_until.map(|until| until.saturating_sub(pool_state.settings.step));
+        let fetch_by = open.fetch_by(now, &pool_state.settings.rules).filter(|_| !reads);
+        // On a connection that has fallen silent, what an earlier read left would go on waiting.
+        let connection =
+            if open.attempts.any_reads() { ConnectionChoice::New } else { ConnectionChoice::Any };
         let connect_by = fetch_by
             .into_iter()
             .chain(repeat_by)
-            .fold(now + connect_within(&known.settings.rules), Micros::min);
-        let open_needs_release = open.held.needs_release();
-        open.tries.all.push(Attempt { ended, ..Attempt::new(server, now, reads) });
-        if moot {
+            .fold(now + connect_within(&pool_state.settings.rules), Micros::min);
+        let needs_release = open.held.needs_release();
+        open.attempts.all.push(Attempt { outcome, ..Attempt::new(server, now, reads) });
+        if not_allowed {
             return Some(Event::Ended(Ended {
                 request,
                 attempt,
                 server,
                 outcome: Outcome::NotSent,
                 kept_tokens: 0,
-                settled: open.over,
+                settled: open.settled,
                 took: 0,
                 report: None,
             }));
         }
-        let (time_left, generation) = (give_up - now, known.generation);
+        let (time_left, generation) = (give_up_at - now, pool_state.generation);
         self.totals.sent += 1;
-        self.wake(give_up, Due::GiveUp(request, attempt));
-        if reads && open_needs_release {
-            let written_by = repeat_by.unwrap_or(Micros::MAX).min(give_up);
-            self.defer(now, request, Deferred { attempt, server, give_up, written_by });
+        self.set_timer(give_up_at, Timer::GiveUp(request, attempt));
+        if reads && needs_release {
+            let written_by = repeat_by.unwrap_or(Micros::MAX).min(give_up_at);
+            self.defer(now, request, Deferred { attempt, server, give_up_at, written_by });
             return None;
         }
-        out.push(Output::Send { pool, request, attempt, server, time_left, generation, connection });
-        self.wake(connect_by, Due::Connect(request, attempt));
+        outputs.push(Output::Send { pool, request, attempt, server, time_left, generation, connection });
+        self.set_timer(connect_by, Timer::Connect(request, attempt));
         None
     }
 
-    fn hear(&mut self, now: Micros, pool: PoolId, server: ServerId) {
+    fn record_answer(&mut self, now: Micros, pool: PoolId, server: ServerId) {
         if let Some(pool) = self.pools.get_mut(usize::from(pool.0)) {
-            pool.heard.insert(server, now);
+            pool.last_answered.insert(server, now);
         }
     }
 }
--- a/src/routing/holding.rs
+++ b/src/routing/holding.rs
@@ -1,30 +1,31 @@
-//! What the core does about states and places that servers hold: when their time begins, and who is asked to release
-//! them. The clocks are in [`crate::recovery::Held`], the order of the calls in [`crate::recovery::Release`].
+//! How the core handles states and places that servers hold: when their time begins, and which servers are asked to
+//! release them. [`crate::recovery::HeldState`] keeps the times, [`crate::recovery::Release`] the order of the calls.
 
 use std::cmp::Reverse;
 
 use super::core::{Core, connect_within};
 use super::message::{CancelReason, ConnectionChoice, Output};
-use super::state::{Deferred, Due, Open};
+use super::state::{Deferred, OpenRequest, Timer};
 use crate::interface::*;
 use crate::recovery::{DueRelease, Release};
 
-/// A server has surely seen by then that the connection of a call was closed, so that nothing is left of it later.
-const SEES_CLOSE: Micros = 100_000;
+/// Within this time a server has certainly noticed that the connection of a call was closed, so the call leaves nothing
+/// held after it.
+const SERVER_SEES_CLOSE_WITHIN: Micros = 100_000;
 
-/// When what an attempt may have left is released: once its server has seen its connection close, or sooner where that
-/// would leave too little of the settings' time.
+/// Returns how long after an attempt's end what it may have left is released: once its server has noticed that the
+/// connection is closed, or sooner if that would leave too little of the time that the settings allow.
 fn after_close(rules: &Rules) -> Micros {
-    SEES_CLOSE.min(rules.held_for() / 2)
+    SERVER_SEES_CLOSE_WITHIN.min(rules.held_for() / 2)
 }
 
-/// As long as a server may take to see the close of a connection before a further read goes out. A release that comes while
-/// a read of the same request runs takes that one's state with it, so it comes before.
-const SEES_CLOSE_BEFORE_READ: Micros = 10_000;
+/// How long a server gets to notice the close of a connection before the release that precedes a further read. A release
+/// that arrives while a read of the same request runs also releases the state of that read, so it has to come first.
+const CLOSE_WAIT_BEFORE_READ: Micros = 10_000;
 
-impl Open {
-    /// When a writer's connection has to be up, as a state waits for it: after half of the time that is left, so that
-    /// another writer gets its turn whatever the first one does.
+impl OpenRequest {
+    /// Returns the time by which a writer's connection has to be up if a state waits for it: after half of the time that is
+    /// left, so that another writer can still be tried whatever the first one does.
     pub(super) fn fetch_by(&self, now: Micros, rules: &Rules) -> Option<Micros> {
         let until = (self.held.wanted_since()? + rules.held_for()).max(now);
         Some(now + (until - now) / 2)
@@ -32,19 +33,19 @@
 }
 
 impl Core {
-    /// Takes note of what the end of an attempt leaves held.
-    pub(super) fn note_held(&mut self, now: Micros, id: RequestId, attempt: u32, outcome: Outcome) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+    /// Records what the end of an attempt may leave held, and sets the timer for its release.
+    pub(super) fn record_held(&mut self, now: Micros, id: RequestId, attempt: u32, outcome: Outcome) {
+        let Some(open) = self.requests.get_mut(&id) else { return };
         let Some(pool) = self.pools.get(usize::from(open.pool.0)) else { return };
-        let Some(reads) = open.tries.all.get(attempt as usize).map(|a| a.reads) else { return };
-        // Nothing is held where no prompt has been read, and nothing waits once the answer has begun.
-        if !open.tries.any_reads() || open.owner.is_some() {
+        let Some(reads) = open.attempts.all.get(attempt as usize).map(|a| a.reads) else { return };
+        // Nothing is held if no prompt was sent to a reader, and nothing waits any more once the answer has begun.
+        if !open.attempts.any_reads() || open.answering.is_some() {
             return;
         }
         let (held_for, after_close) = (pool.settings.rules.held_for(), after_close(&pool.settings.rules));
         match outcome {
-            Outcome::Read => open.held.read_ended(now, held_for, !open.over),
-            // It never came to its server.
+            Outcome::Read => open.held.read_ended(now, held_for, !open.settled),
+            // It never reached its server.
             Outcome::ConnectFailed | Outcome::NotSent => {}
             Outcome::Full if reads => {}
             Outcome::NoState => open.held.reported_missing(),
@@ -52,45 +53,46 @@
                 let within = if open.held.is_wanted() { held_for } else { after_close };
                 open.held.left_after_fetch(now, within);
             }
-            // Nobody is known to have taken the fetch: the time of what waits runs on.
+            // No server is known to have taken the fetch: the time of the waiting state runs on.
             Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
-                if !reads && open.held.is_wanted() && !open.over => {}
-            // A read may have ended well just then, or a fetch have waited for what is free again.
+                if !reads && open.held.is_wanted() && !open.settled => {}
+            // A read may have ended well just then, or a fetch may have kept the state in use until now.
             _ => open.held.possibly_left(now, after_close),
         }
         if let Some(due) = open.held.next_due() {
-            self.wake(due, Due::HeldExpiry(id));
+            self.set_timer(due, Timer::HeldExpiry(id));
         }
     }
 
-    /// Has a further read wait until what earlier attempts may have left is released, or all servers have been asked.
+    /// Defers a further read until what earlier attempts may have left is released, or all servers have been asked.
     pub(super) fn defer(&mut self, now: Micros, id: RequestId, deferred: Deferred) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.requests.get_mut(&id) else { return };
         let Some(pool) = self.pools.get(usize::from(open.pool.0)) else { return };
         let rules = &pool.settings.rules;
         let all_asked = rules.release_within - rules.held_for();
-        let release_at = now + SEES_CLOSE_BEFORE_READ.min(after_close(rules));
+        let release_at = now + CLOSE_WAIT_BEFORE_READ.min(after_close(rules));
         open.held.release_by(release_at);
         open.deferred = Some(deferred);
-        self.wake(release_at, Due::HeldExpiry(id));
-        self.wake(release_at + all_asked, Due::Deferred(id, deferred.attempt));
+        self.set_timer(release_at, Timer::HeldExpiry(id));
+        self.set_timer(release_at + all_asked, Timer::Deferred(id, deferred.attempt));
     }
 
-    /// Sends the read that waits, or this one if it still does.
+    /// Sends the deferred read; if an attempt is given, only if that is the deferred one.
     pub(super) fn send_deferred(
         &mut self,
         now: Micros,
         id: RequestId,
-        only: Option<u32>,
-        out: &mut Vec<Output>,
+        only_attempt: Option<u32>,
+        outputs: &mut Vec<Output>,
     ) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let waits = open.deferred.filter(|deferred| only.is_none_or(|attempt| attempt == deferred.attempt));
-        let Some(Deferred { attempt, server, give_up, written_by }) = waits else { return };
+        let Some(open) = self.requests.get_mut(&id) else { return };
+        let waiting =
+            open.deferred.filter(|deferred| only_attempt.is_none_or(|attempt| attempt == deferred.attempt));
+        let Some(Deferred { attempt, server, give_up_at, written_by }) = waiting else { return };
         let pool = open.pool;
         if now >= written_by {
             if let Some(ended) = self.drop_deferred(now, id, attempt) {
-                self.drive(now, pool, ended, out);
+                self.drive(now, pool, ended, outputs);
             }
             return;
         }
@@ -98,20 +100,20 @@
         let Some(generation) = self.pools.get(usize::from(pool.0)).map(|pool| pool.generation) else {
             return;
         };
-        let (time_left, connection) = (give_up.saturating_sub(now), ConnectionChoice::New);
-        out.push(Output::Send { pool, request: id, attempt, server, time_left, generation, connection });
+        let (time_left, connection) = (give_up_at.saturating_sub(now), ConnectionChoice::New);
+        outputs.push(Output::Send { pool, request: id, attempt, server, time_left, generation, connection });
         let rules = self.pools.get(usize::from(pool.0)).map(|pool| pool.settings.rules);
         let connect_by = now + rules.as_ref().map_or(0, connect_within);
-        self.wake(connect_by.min(written_by), Due::Connect(id, attempt));
+        self.set_timer(connect_by.min(written_by), Timer::Connect(id, attempt));
     }
 
-    /// Ends an attempt that waits and has not been sent.
+    /// Ends an attempt that is deferred and has not been sent.
     pub(super) fn drop_deferred(&mut self, now: Micros, id: RequestId, attempt: u32) -> Option<Event> {
-        let open = self.open.get_mut(&id)?;
+        let open = self.requests.get_mut(&id)?;
         let Deferred { server, .. } = open.deferred.take_if(|deferred| deferred.attempt == attempt)?;
-        let a = open.tries.out(attempt)?;
-        a.ended = Some(Outcome::NotSent);
-        let (took, settled) = (now.saturating_sub(a.sent), open.over);
+        let a = open.attempts.in_flight(attempt)?;
+        a.outcome = Some(Outcome::NotSent);
+        let (took, settled) = (now.saturating_sub(a.sent), open.settled);
         let (outcome, kept_tokens, report) = (Outcome::NotSent, 0, None);
         Some(Event::Ended(Ended {
             request: id,
@@ -125,91 +127,96 @@
         }))
     }
 
-    /// Has an attempt that is out called off.
-    pub(super) fn call_off(
+    /// Cancels an attempt that has not ended, whether it is deferred or sent.
+    pub(super) fn cancel_attempt(
         &mut self,
         now: Micros,
         id: RequestId,
         attempt: u32,
         reason: CancelReason,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
-        let Some(pool) = self.open.get(&id).map(|open| open.pool) else { return };
+        let Some(pool) = self.requests.get(&id).map(|open| open.pool) else { return };
         match self.drop_deferred(now, id, attempt) {
-            Some(ended) => self.drive(now, pool, ended, out),
-            None => out.push(Output::Cancel { request: id, attempt, reason }),
+            Some(ended) => self.drive(now, pool, ended, outputs),
+            None => outputs.push(Output::Cancel { request: id, attempt, reason }),
         }
     }
 
-    /// The time of what is held may be over.
-    pub(super) fn on_held_due(&mut self, now: Micros, id: RequestId, out: &mut Vec<Output>) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+    /// Starts the release of what is held for a request, if it is due.
+    pub(super) fn on_held_due(&mut self, now: Micros, id: RequestId, outputs: &mut Vec<Output>) {
+        let Some(open) = self.requests.get_mut(&id) else { return };
         let (pool, due) = (open.pool, open.held.take_due(now));
         if due == DueRelease::Nothing {
             return;
         }
-        self.start_release(now, id, out);
+        self.start_release(now, id, outputs);
         if due == DueRelease::Wanted {
             self.totals.released_unheard += 1;
-            self.drive(now, pool, Event::StateReleased(id), out);
+            self.drive(now, pool, Event::StateReleased(id), outputs);
         }
-        self.forget(id, out);
+        self.forget(id, outputs);
     }
 
-    /// Has servers asked to let go of what is held: first those that may hold it, then whoever was heard last, as the
-    /// likeliest to run and to have a connection.
-    pub(super) fn start_release(&mut self, now: Micros, id: RequestId, out: &mut Vec<Output>) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+    /// Starts asking servers to release what is held: first those that may hold it, then the others, beginning with the
+    /// one that answered last, as it is the likeliest to run and to have a connection.
+    pub(super) fn start_release(&mut self, now: Micros, id: RequestId, outputs: &mut Vec<Output>) {
+        let Some(open) = self.requests.get_mut(&id) else { return };
         let Some(pool) = self.pools.get(usize::from(open.pool.0)) else { return };
-        let mut order = open.tries.holders();
+        let mut order = open.attempts.holders();
         if order.is_empty() {
             return;
         }
         order.retain(|server| pool.kinds.contains_key(server));
-        let mut others: Vec<_> =
+        let mut remaining: Vec<_> =
             pool.kinds.keys().filter(|server| !order.contains(server)).copied().collect();
-        others.sort_by_key(|server| Reverse(pool.heard.get(server)));
-        order.extend(others);
+        remaining.sort_by_key(|server| Reverse(pool.last_answered.get(server)));
+        order.extend(remaining);
         let rules = pool.settings.rules;
         open.held.begin_release(now, Release::new(now, order, rules.release_within - rules.held_for()));
-        self.ask_to_release(now, id, |release, ask| release.tick(now, ask), out);
+        self.advance_release(now, id, |release, targets| release.tick(now, targets), outputs);
     }
 
-    /// Takes a step of the calls that are out for a request, and asks whoever is next.
-    pub(super) fn ask_to_release(
+    /// Advances the release calls of a request by one step, and asks the servers that are next.
+    pub(super) fn advance_release(
         &mut self,
         now: Micros,
         id: RequestId,
         step: impl FnOnce(&mut Release, &mut Vec<ServerId>),
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let (pool, mut ask) = (open.pool, Vec::new());
+        let Some(open) = self.requests.get_mut(&id) else { return };
+        let (pool, mut targets) = (open.pool, Vec::new());
         let Some(release) = open.held.release() else { return };
-        step(release, &mut ask);
+        step(release, &mut targets);
         let (taken, done) = (release.taken(), release.done());
-        let due = release.next_due().filter(|_| !ask.is_empty());
+        let due = release.next_due().filter(|_| !targets.is_empty());
         let connection = if release.repeats() { ConnectionChoice::New } else { ConnectionChoice::Any };
-        out.extend(ask.into_iter().map(|server| Output::Release { pool, request: id, server, connection }));
+        outputs.extend(targets.into_iter().map(|server| Output::Release {
+            pool,
+            request: id,
+            server,
+            connection,
+        }));
         if done {
             let waited = open.held.end_release(now).unwrap_or_default();
-            self.count_release(id, taken, waited, out);
-            if self.open.get(&id).is_some_and(|open| !open.held.needs_release()) {
-                self.send_deferred(now, id, None, out);
+            self.record_release(id, taken, waited, outputs);
+            if self.requests.get(&id).is_some_and(|open| !open.held.needs_release()) {
+                self.send_deferred(now, id, None, outputs);
             }
-            self.forget(id, out);
+            self.forget(id, outputs);
         } else if let Some(due) = due {
-            self.wake(due, Due::Release(id));
+            self.set_timer(due, Timer::Release(id));
         }
     }
 
-    fn count_release(&mut self, id: RequestId, taken: bool, waited: Micros, out: &mut Vec<Output>) {
-        let pool = self.open.get(&id).and_then(|open| self.pools.get(usize::from(open.pool.0)));
+    fn record_release(&mut self, id: RequestId, taken: bool, waited: Micros, outputs: &mut Vec<Output>) {
+        let pool = self.requests.get(&id).and_then(|open| self.pools.get(usize::from(open.pool.0)));
         let late = pool.is_some_and(|pool| waited > pool.settings.rules.release_within);
         self.totals.released += u64::from(taken);
         self.totals.released_late += u64::from(late);
         if late {
-            out.push(Output::HeldTooLong { request: id, waited, taken });
+            outputs.push(Output::HeldTooLong { request: id, waited, taken });
         }
     }
 }
--- a/src/routing/message.rs
+++ b/src/routing/message.rs
@@ -1,32 +1,32 @@
-//! What goes into the core and what comes out of it.
+//! The inputs and outputs of the core.
 
 use crate::interface::*;
 
-/// One router and the servers it chooses among: those of the platform, or the tool servers.
+/// One router with the servers it chooses among: those of the platform, or the tool servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PoolId(pub u8);
 
-/// A request as a front hands it in.
+/// A request as a front hands it to the core.
 #[derive(Clone, Copy, Debug)]
 pub struct Admission {
-    /// Whose router decides.
+    /// The pool whose router decides.
     pub pool: PoolId,
-    /// The request; when it expires is filled in here.
+    /// The request; the core fills in when it expires.
     pub request: Request,
     /// How long its client waits.
     pub time_left: Micros,
 }
 
-/// What the transport reports.
+/// An event that the transport reports.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A request has come in.
+    /// A request has arrived.
     Request(Admission),
-    /// News of a pool's list, and the number of the generation that it makes.
+    /// An update of a pool's list, and the number of the generation that results from it.
     List(PoolId, u64, ListUpdate),
-    /// The first event of an attempt's answer is here.
+    /// The first event of an attempt's answer has arrived.
     Started(RequestId, u32),
-    /// The last byte of an attempt has been handed to the system; its server may never take it up.
+    /// The last byte of an attempt has been handed to the operating system; its server may never read it.
     Written(RequestId, u32),
     /// An attempt has ended.
     Ended {
@@ -34,35 +34,35 @@
         request: RequestId,
         /// The attempt.
         attempt: u32,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
-        /// Prompt tokens found kept.
+        /// Prompt tokens that the reader had kept.
         kept_tokens: u64,
-        /// The load report that came along.
+        /// The server's load report, if one came with it.
         report: Option<Report>,
     },
     /// A probe has ended.
     Probed {
-        /// Whose server.
+        /// The pool of the server.
         pool: PoolId,
         /// The server.
         server: ServerId,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
         /// How long it took.
         took: Micros,
-        /// What it told.
+        /// The server's load report, if one came with it.
         report: Option<Report>,
     },
-    /// A call to let go of what is held for a request has ended; whether the server took it.
+    /// A call that releases what is held for a request has ended; true if the server took it.
     Released(RequestId, bool),
-    /// A place asked for ahead is held, or not.
+    /// The answer to a place asked for ahead; true if it is held.
     Place(RequestId, ServerId, bool),
     /// The client has left.
     ClientGone(RequestId),
 }
 
-/// The connection that a call goes out on.
+/// The connection that a call is sent on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionChoice {
     /// One that is open and idle, or a new one if there is none.
@@ -71,7 +71,7 @@
     New,
 }
 
-/// Why an attempt is called off.
+/// Why an attempt is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelReason {
     /// The time that it may wait for its answer is over.
@@ -79,7 +79,7 @@
     /// It has not been written by the time at which the state that waits for it has to go elsewhere, or the window for
     /// repeats ends.
     NotWrittenInTime,
-    /// The router expects nothing of it any more, or its request has ended.
+    /// The router has no more use for it, or its request has ended.
     GivenUp,
     /// Another attempt has answered the client.
     AnsweredByAnother,
@@ -87,22 +87,22 @@
     Moved,
 }
 
-/// What the transport is to do.
+/// What the transport has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send an attempt; its end is owed as [`Input::Ended`].
+    /// Send an attempt. The transport reports its end as [`Input::Ended`].
     Send {
-        /// Whose server.
+        /// The pool of the server.
         pool: PoolId,
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: u32,
-        /// Where to.
+        /// The server that it is sent to.
         server: ServerId,
-        /// How long the wait may last.
+        /// How long the wait for the answer may last.
         time_left: Micros,
-        /// The generation of servers by which it was decided.
+        /// The generation of the member list that the decision is based on.
         generation: u64,
         /// The connection to send it on.
         connection: ConnectionChoice,
@@ -113,12 +113,12 @@
         request: RequestId,
         /// The attempt.
         attempt: u32,
-        /// Why it is called off.
+        /// Why it is cancelled.
         reason: CancelReason,
     },
-    /// The attempt's answer is the client's.
+    /// Relay this attempt's answer to the client.
     Relay(RequestId, u32),
-    /// Final answer: refused, and when to come back.
+    /// Final answer: refused, and after what time the client should come back.
     Refuse(RequestId, Option<Micros>),
     /// Final answer: failed.
     Fail {
@@ -129,9 +129,10 @@
         /// Its time was over.
         overdue: bool,
     },
-    /// Ask a server to let go of all that is held for the request; the end is owed as [`Input::Released`].
+    /// Ask a server to release all that is held for the request. The transport reports the end of the call as
+    /// [`Input::Released`].
     Release {
-        /// Whose server.
+        /// The pool of the server.
         pool: PoolId,
         /// The request.
         request: RequestId,
@@ -140,27 +141,27 @@
         /// The connection to ask on.
         connection: ConnectionChoice,
     },
-    /// What servers held for a request waited for longer than the settings allow; for the operators.
+    /// Report to the operators that what servers held for a request waited for longer than the settings allow.
     HeldTooLong {
         /// The request.
         request: RequestId,
-        /// For how long.
+        /// How long it waited.
         waited: Micros,
-        /// Whether a server has taken the call that lets go of it by now.
+        /// True if a server has taken the call that releases it.
         taken: bool,
     },
-    /// Hold a place.
+    /// Reserve a place for the request at this server.
     HoldPlace(PoolId, RequestId, ServerId),
     /// Probe a server.
     Probe(PoolId, ServerId),
     /// Close idle connections to a server.
     CloseIdle(PoolId, ServerId),
-    /// A line for the operators.
+    /// Log a line for the operators.
     Log(String),
-    /// A server gave no sign of life and is avoided for a while; for the operators.
+    /// Report to the operators that a server did not respond at all and is avoided for a while.
     Ejected(PoolId, ServerId),
-    /// What a choice looked at; only of pools that are observed.
+    /// The candidates of a choice; only for pools that are observed.
     Explain(Box<Choice>),
-    /// Nothing more will be said of the request.
+    /// Drop the request: no more outputs follow for it.
     Forget(RequestId),
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,5 +1,6 @@
-//! The core: it owns the routers, the open requests, their attempts and the timers, and knows no wire. An
-//! event and the time go in, outputs come out, in one synchronous call; the fronts and the plug-in share it.
+//! The core of the program: it owns the routers, the open requests with their attempts, and the timers, and knows no wire
+//! protocol. It is given an event and the time, and returns outputs in one synchronous call. The fronts and the plug-in
+//! share it.
 
 mod core;
 mod evidence;
--- a/src/routing/state.rs
+++ b/src/routing/state.rs
@@ -1,54 +1,60 @@
-//! What the core keeps of each request, each timer and each pool.
+//! The state that the core keeps of each request, timer and pool.
 
 use std::collections::BTreeMap;
 
 use super::message::PoolId;
 use super::totals::ClassTotals;
-use super::tries::Tries;
+use super::tries::Attempts;
 use crate::choice::Router;
 use crate::interface::*;
 use crate::recovery::HeldState;
 
 /// A request that has not been forgotten.
-pub(super) struct Open {
+pub(super) struct OpenRequest {
     pub(super) pool: PoolId,
     pub(super) class: ClassId,
     pub(super) expires: Micros,
-    pub(super) tries: Tries,
-    /// The attempt whose answer is the client's.
-    pub(super) owner: Option<u32>,
+    pub(super) attempts: Attempts,
+    /// The attempt whose answer is relayed to the client.
+    pub(super) answering: Option<u32>,
     /// The final answer is given, or no longer owed.
-    pub(super) over: bool,
+    pub(super) settled: bool,
     /// What readers may hold for it.
     pub(super) held: HeldState,
     /// A further read that waits until what earlier attempts may have left has been released.
     pub(super) deferred: Option<Deferred>,
 }
 
-/// An attempt that is decided and not yet sent.
+/// An attempt that has been decided on and not been sent yet.
 #[derive(Clone, Copy)]
 pub(super) struct Deferred {
     pub(super) attempt: u32,
     pub(super) server: ServerId,
-    pub(super) give_up: Micros,
-    /// It has to be written by then, as its client's time or the window for repeats ends.
+    pub(super) give_up_at: Micros,
+    /// When it has to be written at the latest, as its client's time or the window for repeats ends then.
     pub(super) written_by: Micros,
 }
 
-impl Open {
-    /// No attempt is out, and what was held is let go of.
-    pub(super) fn idle(&self) -> bool {
-        !self.tries.any_out() && self.held.is_empty()
+impl OpenRequest {
+    /// Returns true if no attempt is in flight and nothing is left to release.
+    pub(super) fn nothing_pending(&self) -> bool {
+        !self.attempts.any_in_flight() && self.held.is_empty()
     }
 }
 
 /// What a timer is for.
-pub(super) enum Due {
+pub(super) enum Timer {
+    /// The router asked for it.
     Router(PoolId, TimerId),
+    /// The attempt is given up if its answer has not started.
     GiveUp(RequestId, u32),
+    /// The attempt is cancelled if it has not been written.
     Connect(RequestId, u32),
+    /// What is held for the request may be due for release.
     HeldExpiry(RequestId),
+    /// The deferred read is sent, even if no server has taken the release before it.
     Deferred(RequestId, u32),
+    /// The next release calls are due.
     Release(RequestId),
 }
 
@@ -57,9 +63,9 @@
     pub(super) router: Router,
     pub(super) settings: Settings,
     pub(super) kinds: BTreeMap<ServerId, KindId>,
-    /// When each server last answered anything.
-    pub(super) heard: BTreeMap<ServerId, Micros>,
+    /// When each server last answered any call.
+    pub(super) last_answered: BTreeMap<ServerId, Micros>,
     pub(super) generation: u64,
-    /// By class.
-    pub(super) handled: Vec<ClassTotals>,
+    /// The totals of each class, in the order of the settings.
+    pub(super) class_totals: Vec<ClassTotals>,
 }
--- a/src/routing/totals.rs
+++ b/src/routing/totals.rs
@@ -1,57 +1,58 @@
-//! What has been counted since the start.
+//! The counters of the core.
 
-/// What has been taken in, sent and answered since the start.
+/// Counters since the start of the program, and the numbers of what is open and listed now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
-    /// Requests taken in.
+    /// Requests that arrived.
     pub taken: u64,
     /// Attempts sent.
     pub sent: u64,
-    /// Attempts of which the last byte was written to their server.
+    /// Attempts whose last byte was written to their server.
     pub written: u64,
-    /// Requests answered by a server, to the end.
+    /// Requests whose answer by a server was complete.
     pub served: u64,
     /// Requests refused.
     pub refused: u64,
     /// Requests failed.
     pub failed: u64,
-    /// Answers that broke off after their start.
+    /// Requests whose answer broke off after its start.
     pub broken: u64,
-    /// Requests whose client left first.
+    /// Requests whose client left before the answer was complete.
     pub gone: u64,
     /// Probes sent.
     pub probes: u64,
-    /// Attempts called off because no connection had taken them in time for the state that waited, or for the window in
-    /// which repeats are discarded.
+    /// Attempts cancelled because they were not written to a connection in time: for the state that waited, or for the
+    /// window in which repeats are discarded.
     pub unreachable: u64,
-    /// Requests of which a server has taken the call that lets go of what is held.
+    /// Requests for which a server has taken the call that releases what is held.
     pub released: u64,
-    /// Requests whose state waited for longer than the settings allow before a server took that call, or none did.
+    /// Requests whose state waited for longer than the settings allow until a server took that call, or until the calls
+    /// ended without one.
     pub released_late: u64,
-    /// States that were released as no writer had been heard in time, though a fetch was out or about to be.
+    /// States that were released because no writer had answered in time, though a fetch was in flight or intended.
     pub released_unheard: u64,
     /// Requests open now.
     pub open: u64,
-    /// Servers that are listed now.
+    /// Servers listed now.
     pub known: u64,
-    /// Those of them that are avoided now.
+    /// Listed servers that are avoided now.
     pub avoided: u64,
 }
 
-/// How the requests of a class have ended; those whose clients left before are not among them.
+/// How many requests of a class have ended in which way. Requests whose client left before are not counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassTotals {
-    /// Answered by a server, to the end.
+    /// Answered by a server, completely.
     pub served: u64,
     /// Refused.
     pub refused: u64,
-    /// Failed, or broken off after the answer's start.
+    /// Failed, or broken off after the start of the answer.
     pub failed: u64,
 }
 
 /// How the final answer to a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum End {
+pub(super) enum RequestEnd {
     Served,
     Refused,
     Failed,
@@ -59,22 +60,22 @@
 }
 
 impl Totals {
-    pub(super) fn count(&mut self, end: End) {
+    pub(super) fn count(&mut self, end: RequestEnd) {
         match end {
-            End::Served => self.served += 1,
-            End::Refused => self.refused += 1,
-            End::Failed => self.failed += 1,
-            End::Broken => self.broken += 1,
+            RequestEnd::Served => self.served += 1,
+            RequestEnd::Refused => self.refused += 1,
+            RequestEnd::Failed => self.failed += 1,
+            RequestEnd::Broken => self.broken += 1,
         }
     }
 }
 
 impl ClassTotals {
-    pub(super) fn count(&mut self, end: End) {
+    pub(super) fn count(&mut self, end: RequestEnd) {
         match end {
-            End::Served => self.served += 1,
-            End::Refused => self.refused += 1,
-            End::Failed | End::Broken => self.failed += 1,
+            RequestEnd::Served => self.served += 1,
+            RequestEnd::Refused => self.refused += 1,
+            RequestEnd::Failed | RequestEnd::Broken => self.failed += 1,
         }
     }
 }
