--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -1,4 +1,4 @@
-//! The state machine by which clients are sent away, taken back and parted with at the end.
+//! Tests of the state machine that sends clients away, resumes service and closes their connections at shutdown.
 
 use std::collections::BTreeMap;
 
@@ -8,70 +8,73 @@
 
 const MS: Micros = 1_000;
 
-/// A machine, the time, and what each connection does as its owner sees it.
-struct Stand {
+/// The state machine, the time, and what each connection does as the front that owns it sees it.
+struct Harness {
     drain: Drain,
     now: Micros,
     connections: BTreeMap<ConnectionId, Connection>,
     entered: Vec<Phase>,
     away_since: Option<Micros>,
-    ending_since: Option<Micros>,
+    draining_since: Option<Micros>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Connection {
-    Fresh(Micros),
-    Rests,
+    Unused(Micros),
+    Idle,
     Busy,
 }
 
-impl Stand {
+impl Harness {
     fn new(socket: Socket) -> Self {
         let (drain, connections) = (Drain::new(socket), BTreeMap::new());
-        Stand {
+        Harness {
             drain,
             now: 1_000_000,
             connections,
             entered: Vec::new(),
             away_since: None,
-            ending_since: None,
+            draining_since: None,
         }
     }
 
     fn serving(socket: Socket) -> Self {
-        let mut stand = Stand::new(socket);
-        stand.feed(Input::Ready);
-        stand
+        let mut harness = Harness::new(socket);
+        harness.feed(Input::Ready);
+        harness
     }
 
-    fn carry_out(&mut self, out: Vec<Output>) -> Vec<ConnectionId> {
+    fn carry_out(&mut self, outputs: Vec<Output>) -> Vec<ConnectionId> {
         let mut closed = Vec::new();
-        for output in out {
+        for output in outputs {
             match output {
                 Output::Enter(phase) => {
                     let before = self.entered.last().copied().unwrap_or(Phase::Starting);
                     assert!(
                         phase > before || (before, phase) == (Phase::Away, Phase::Serving),
-                        "invariant: only away leads back, from {before:?} to {phase:?}"
+                        "invariant: only Away leads back, from {before:?} to {phase:?}"
                     );
                     self.entered.push(phase);
                     self.away_since = (phase == Phase::Away).then_some(self.now);
                     if phase == Phase::Draining {
-                        self.ending_since = Some(self.now);
+                        self.draining_since = Some(self.now);
                     }
                 }
                 Output::Close(id) => {
                     assert!(
                         self.drain.phase().closes_after_answer(),
-                        "invariant: nobody is parted with in service"
+                        "invariant: no connection is closed in service"
                     );
                     let connection = self.connections.remove(&id);
                     assert!(
-                        matches!(connection, Some(Connection::Fresh(_) | Connection::Rests)),
+                        matches!(connection, Some(Connection::Unused(_) | Connection::Idle)),
                         "invariant: a connection is closed once, and never under a request: {connection:?}"
                     );
-                    if let Some(Connection::Fresh(since)) = connection {
-                        assert!(self.now >= since + 100 * MS, "invariant: a newcomer gets its moment");
+                    if let Some(Connection::Unused(since)) = connection {
+                        assert!(
+                            self.now >= since + 100 * MS,
+                            "invariant: an unused connection stays open for its minimum time"
+                        );
                     }
                     closed.push(id);
                 }
@@ -81,20 +84,20 @@
     }
 
     fn feed(&mut self, input: Input) -> Vec<ConnectionId> {
-        let mut out = Vec::new();
-        self.drain.handle(self.now, input, &mut out);
-        self.carry_out(out)
+        let mut outputs = Vec::new();
+        self.drain.handle(self.now, input, &mut outputs);
+        self.carry_out(outputs)
     }
 
     fn call(&mut self, call: Call) -> bool {
-        let mut out = Vec::new();
-        let followed = self.drain.call(self.now, call, &mut out).is_ok();
-        self.carry_out(out);
-        followed
+        let mut outputs = Vec::new();
+        let accepted = self.drain.call(self.now, call, &mut outputs).is_ok();
+        self.carry_out(outputs);
+        accepted
     }
 
     fn open(&mut self, id: u64) {
-        self.connections.insert(ConnectionId(id), Connection::Fresh(self.now));
+        self.connections.insert(ConnectionId(id), Connection::Unused(self.now));
         self.feed(Input::Opened(ConnectionId(id)));
     }
 
@@ -105,7 +108,7 @@
         }
     }
 
-    /// The answer is written; where it was the last one its owner ends the connection.
+    /// Reports that the answer is written. If it was the last one, the owner ends the connection.
     fn answer(&mut self, id: u64, last: bool) {
         if self.connections.get(&ConnectionId(id)) != Some(&Connection::Busy) {
             return;
@@ -114,118 +117,132 @@
             self.connections.remove(&ConnectionId(id));
             self.feed(Input::Ended(ConnectionId(id)));
         } else {
-            self.connections.insert(ConnectionId(id), Connection::Rests);
+            self.connections.insert(ConnectionId(id), Connection::Idle);
             self.feed(Input::Answered(ConnectionId(id)));
         }
     }
 
-    /// Lets time pass, at each time that is due.
-    fn pass(&mut self, span: Micros) -> Vec<(Micros, ConnectionId)> {
-        let (until, mut closed) = (self.now + span, Vec::new());
+    /// Lets time pass, with a tick at each time that is due. Returns which connections were closed, and when.
+    fn pass(&mut self, duration: Micros) -> Vec<(Micros, ConnectionId)> {
+        let (until, mut closed) = (self.now + duration, Vec::new());
         loop {
             let due = self.drain.next_due().filter(|due| *due <= until);
             self.now = due.map_or(until, |due| due.max(self.now));
             let now = self.now;
             closed.extend(self.feed(Input::Tick).into_iter().map(|id| (now, id)));
-            assert!(self.drain.next_due().is_none_or(|due| due > now), "invariant: what is due is done");
-            self.audit();
+            assert!(
+                self.drain.next_due().is_none_or(|due| due > now),
+                "invariant: nothing that is due is left undone"
+            );
+            self.check_invariants();
             if due.is_none() {
                 return closed;
             }
         }
     }
 
-    fn audit(&self) {
-        let resting =
-            self.connections.values().filter(|connection| **connection == Connection::Rests).count();
+    fn check_invariants(&self) {
+        let idle = self.connections.values().filter(|connection| **connection == Connection::Idle).count();
         if self.away_since.is_some_and(|since| self.now >= since + 1_800 * MS) {
-            assert_eq!(resting, 0, "invariant: nobody rests 1.8 s after the call");
+            assert_eq!(idle, 0, "invariant: no used connection is idle 1.8 s after the call");
         }
-        if self.ending_since.is_some_and(|since| self.now >= since + 600 * MS) {
-            assert_eq!(resting, 0, "invariant: nobody rests 0.6 s after the end was told");
-            assert!(self.drain.phase() >= Phase::Closing, "invariant: newcomers are taken for 0.6 s");
+        if self.draining_since.is_some_and(|since| self.now >= since + 600 * MS) {
+            assert_eq!(idle, 0, "invariant: no used connection is idle 0.6 s after SIGTERM");
+            assert!(
+                self.drain.phase() >= Phase::Closing,
+                "invariant: new connections are accepted for no longer than 0.6 s"
+            );
         }
     }
 }
 
-/// Failure: clients are sent off before others know, or rest beyond the term; a busy one is cut off.
+/// Failure: connections are closed before the drain is known elsewhere, or stay idle beyond the limit, or are closed while
+/// a request is open on them.
 #[test]
-fn clients_are_parted_with_between_0_4_and_1_8_seconds_after_the_call() {
-    let mut stand = Stand::serving(Socket::Own);
+fn idle_connections_are_closed_between_0_4_and_1_8_seconds_after_the_call() {
+    let mut harness = Harness::serving(Socket::Own);
     for id in 0..4 {
-        stand.open(id);
+        harness.open(id);
     }
     for id in 1..4 {
-        stand.ask(id);
+        harness.ask(id);
     }
-    stand.answer(1, true);
-    stand.pass(3_000 * MS);
-    assert_eq!(stand.connections.len(), 4, "nobody is closed in service");
-    let called = stand.now;
-    assert!(stand.call(Call::Away));
-    assert_eq!(stand.pass(399 * MS), []);
-    let closed = stand.pass(MS);
+    harness.answer(1, true);
+    harness.pass(3_000 * MS);
+    assert_eq!(harness.connections.len(), 4, "no connection is closed in service");
+    let called_at = harness.now;
+    assert!(harness.call(Call::Away));
+    assert_eq!(harness.pass(399 * MS), []);
+    let closed = harness.pass(MS);
     assert_eq!(
         closed,
-        [(called + 400 * MS, ConnectionId(0)), (called + 400 * MS, ConnectionId(1))],
-        "who rested for long"
+        [(called_at + 400 * MS, ConnectionId(0)), (called_at + 400 * MS, ConnectionId(1))],
+        "those that were idle for long"
+    );
+    harness.pass(1_000 * MS);
+    // This answer had begun before the call, so it does not say that it is the last one.
+    harness.answer(2, false);
+    assert_eq!(harness.pass(199 * MS), []);
+    assert_eq!(
+        harness.pass(MS).len(),
+        1,
+        "a client that has just been answered may be about to send another request"
+    );
+    harness.pass(1_000 * MS);
+    assert_eq!(harness.connections[&ConnectionId(3)], Connection::Busy, "a long answer goes on");
+    harness.answer(3, false);
+    assert_eq!(
+        harness.pass(0).len() + harness.connections.len(),
+        0,
+        "beyond the limit no connection is idle at all"
     );
-    stand.pass(1_000 * MS);
-    // It had begun before the call, so that nothing in it says that it is the last one.
-    stand.answer(2, false);
-    assert_eq!(stand.pass(199 * MS), []);
-    assert_eq!(stand.pass(MS).len(), 1, "a client that has just been answered may be about to ask again");
-    stand.pass(1_000 * MS);
-    assert_eq!(stand.connections[&ConnectionId(3)], Connection::Busy, "a long answer goes on");
-    stand.answer(3, false);
-    assert_eq!(stand.pass(0).len() + stand.connections.len(), 0, "beyond the term nobody rests at all");
 }
 
-/// Failure: a drain that is called off goes on closing connections, or a second call gives it more time.
+/// Failure: a drain that was cancelled goes on closing connections, or a second call gives it more time.
 #[test]
-fn calls_repeated_and_crossed_have_one_meaning() {
-    let mut stand = Stand::new(Socket::Own);
-    assert!(stand.call(Call::Away) && stand.call(Call::Resume) && stand.call(Call::Away));
-    stand.feed(Input::Ready);
-    assert_eq!(stand.drain.phase(), Phase::Away, "sent away before it could serve");
-    assert!(stand.drain.phase().serves(), "whoever comes is served");
-    assert!(stand.call(Call::Resume) && stand.call(Call::Resume));
-    assert_eq!(stand.drain.phase(), Phase::Serving);
-    stand.open(1);
-    stand.ask(1);
-    stand.answer(1, true);
-    assert!(stand.call(Call::Away));
-    stand.pass(300 * MS);
-    assert!(stand.call(Call::Away), "as it is already");
-    assert_eq!(stand.pass(100 * MS).len(), 1, "the time runs from the first call");
-    stand.open(2);
-    assert!(stand.call(Call::Resume));
-    stand.pass(5_000 * MS);
-    assert_eq!(stand.connections.len(), 1, "it was called off");
-    stand.feed(Input::Terminate);
-    assert!(stand.call(Call::Away), "they are sent away all the same");
-    assert!(!stand.call(Call::Resume), "there is no way back");
-    stand.pass(600 * MS);
-    assert_eq!(stand.entered.last(), Some(&Phase::Closing));
-    stand.feed(Input::Finished);
-    assert!(!stand.call(Call::Resume));
+fn repeated_and_alternating_calls_are_idempotent() {
+    let mut harness = Harness::new(Socket::Own);
+    assert!(harness.call(Call::Away) && harness.call(Call::Resume) && harness.call(Call::Away));
+    harness.feed(Input::Ready);
+    assert_eq!(harness.drain.phase(), Phase::Away, "sent away before it could serve");
+    assert!(harness.drain.phase().serves(), "requests that arrive are served");
+    assert!(harness.call(Call::Resume) && harness.call(Call::Resume));
+    assert_eq!(harness.drain.phase(), Phase::Serving);
+    harness.open(1);
+    harness.ask(1);
+    harness.answer(1, true);
+    assert!(harness.call(Call::Away));
+    harness.pass(300 * MS);
+    assert!(harness.call(Call::Away), "a call for the state that holds succeeds");
+    assert_eq!(harness.pass(100 * MS).len(), 1, "the time runs from the first call");
+    harness.open(2);
+    assert!(harness.call(Call::Resume));
+    harness.pass(5_000 * MS);
+    assert_eq!(harness.connections.len(), 1, "the drain was cancelled");
+    harness.feed(Input::Terminate);
+    assert!(harness.call(Call::Away), "a call for Away succeeds while draining");
+    assert!(!harness.call(Call::Resume), "service can't be resumed");
+    harness.pass(600 * MS);
+    assert_eq!(harness.entered.last(), Some(&Phase::Closing));
+    harness.feed(Input::Finished);
+    assert!(!harness.call(Call::Resume));
 }
 
-/// Failure: the older process takes connections that the newer one should have, or keeps clients from it.
+/// Failure: the older process accepts connections that the newer one should have, or keeps clients from it.
 #[test]
-fn at_a_shared_socket_the_end_is_at_once() {
-    let mut stand = Stand::new(Socket::Shared);
-    assert!(!stand.drain.phase().accepts_from(Socket::Shared), "it can't serve yet");
-    stand.feed(Input::Ready);
-    assert!(stand.drain.phase().accepts_from(Socket::Shared));
-    stand.open(1);
-    stand.pass(1_000 * MS);
-    stand.open(2);
-    stand.feed(Input::Terminate);
-    assert!(!stand.drain.phase().accepts_from(Socket::Shared));
-    assert!(!stand.connections.contains_key(&ConnectionId(1)), "it had rested");
-    assert_eq!(stand.pass(100 * MS).len(), 1, "its first request may have been on the way");
-    assert!(Phase::Draining.accepts_from(Socket::Own), "behind an own one nobody else stands");
+fn shared_socket_stops_accepting_at_once_on_terminate() {
+    let mut harness = Harness::new(Socket::Shared);
+    assert!(!harness.drain.phase().accepts_from(Socket::Shared), "it can't serve yet");
+    harness.feed(Input::Ready);
+    assert!(harness.drain.phase().accepts_from(Socket::Shared));
+    harness.open(1);
+    harness.pass(1_000 * MS);
+    harness.open(2);
+    harness.feed(Input::Terminate);
+    assert!(!harness.drain.phase().accepts_from(Socket::Shared));
+    assert!(!harness.connections.contains_key(&ConnectionId(1)), "it had been idle for long enough");
+    assert_eq!(harness.pass(100 * MS).len(), 1, "its first request may have been on its way");
+    assert!(Phase::Draining.accepts_from(Socket::Own), "no other process accepts at an own socket");
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -233,7 +250,7 @@
         3 => (0u64..6).prop_map(Step::Open),
         4 => (0u64..6).prop_map(Step::Ask),
         4 => ((0u64..6), any::<bool>()).prop_map(|(id, last)| Step::Answer(id, last)),
-        1 => (0u64..6).prop_map(Step::Hangup),
+        1 => (0u64..6).prop_map(Step::Disconnect),
         4 => (1u64..900).prop_map(|ms| Step::Pass(ms * MS)),
         1 => Just(Step::Call(Call::Away)),
         1 => Just(Step::Call(Call::Resume)),
@@ -247,7 +264,7 @@
     Open(u64),
     Ask(u64),
     Answer(u64, bool),
-    Hangup(u64),
+    Disconnect(u64),
     Pass(Micros),
     Call(Call),
     Ready,
@@ -255,39 +272,43 @@
 }
 
 proptest! {
-    /// The invariants are named where the stand asserts them; whatever happens, they hold.
+    /// The invariants that the harness asserts hold after any sequence of events.
     #[test]
-    fn whatever_happens_the_invariants_hold(
+    fn invariants_hold_for_any_sequence_of_events(
         shared in any::<bool>(),
         steps in proptest::collection::vec(step(), 1..80),
     ) {
-        let mut stand = Stand::new(if shared { Socket::Shared } else { Socket::Own });
+        let mut harness = Harness::new(if shared { Socket::Shared } else { Socket::Own });
         for step in steps {
             match step {
-                Step::Open(id) if !stand.connections.contains_key(&ConnectionId(id)) => stand.open(id),
+                Step::Open(id) if !harness.connections.contains_key(&ConnectionId(id)) => harness.open(id),
                 Step::Open(_) => {}
-                Step::Ask(id) => stand.ask(id),
-                Step::Answer(id, last) => stand.answer(id, last),
-                Step::Hangup(id) => {
-                    if stand.connections.remove(&ConnectionId(id)).is_some() {
-                        stand.feed(Input::Ended(ConnectionId(id)));
+                Step::Ask(id) => harness.ask(id),
+                Step::Answer(id, last) => harness.answer(id, last),
+                Step::Disconnect(id) => {
+                    if harness.connections.remove(&ConnectionId(id)).is_some() {
+                        harness.feed(Input::Ended(ConnectionId(id)));
                     }
                 }
-                Step::Pass(span) => drop(stand.pass(span)),
+                Step::Pass(duration) => drop(harness.pass(duration)),
                 Step::Call(call) => {
-                    let ending = stand.drain.phase() >= Phase::Draining;
-                    prop_assert_eq!(stand.call(call), call == Call::Away || !ending, "only the end says no");
+                    let ending = harness.drain.phase() >= Phase::Draining;
+                    prop_assert_eq!(
+                        harness.call(call),
+                        call == Call::Away || !ending,
+                        "only Resume after SIGTERM is refused"
+                    );
                 }
-                Step::Ready => drop(stand.feed(Input::Ready)),
-                Step::Terminate => drop(stand.feed(Input::Terminate)),
+                Step::Ready => drop(harness.feed(Input::Ready)),
+                Step::Terminate => drop(harness.feed(Input::Terminate)),
             }
-            stand.audit();
+            harness.check_invariants();
         }
-        // With nothing new all resting ones go, and the term ends.
-        stand.feed(Input::Terminate);
-        stand.pass(3_000 * MS);
-        prop_assert!(stand.connections.values().all(|connection| *connection == Connection::Busy));
-        prop_assert_eq!(stand.drain.phase(), Phase::Closing);
-        prop_assert_eq!(stand.drain.next_due(), None);
+        // Without new events all idle connections are closed, and no further ones are accepted.
+        harness.feed(Input::Terminate);
+        harness.pass(3_000 * MS);
+        prop_assert!(harness.connections.values().all(|connection| *connection == Connection::Busy));
+        prop_assert_eq!(harness.drain.phase(), Phase::Closing);
+        prop_assert_eq!(harness.drain.next_due(), None);
     }
 }
