--- a/src/routing/core.rs
+++ b/src/routing/core.rs
@@ -174,7 +174,7 @@
         let server = a.server;
         a.record_evidence(Evidence::Heard);
         if already_answered || a.cancelled {
-            // A second answer must not reach the client.
+            // The client has its answer already, or the attempt is cancelled: no second answer must reach the client.
             if !std::mem::replace(&mut a.cancelled, true) {
                 outputs.push(cancel_output(id, attempt, CancelReason::AnsweredByAnother));
             }
