--- a/src/recovery/mod.rs
+++ b/src/recovery/mod.rs
@@ -1,14 +1,15 @@
-//! Taking a process out of service and back, its end, when to ask again what has failed, and the release of
-//! what is held. No I/O and no clock: what happens and the time go in, what is to be done comes out.
+//! Taking the process out of service and back, its shutdown, the pacing of calls to discovery, and the release of what
+//! servers hold for a request. These are state machines without I/O and without a clock: they are given events and the
+//! time, and return what has to be done.
 
 mod drain;
 mod held;
 mod pacing;
 mod release;
 
-pub use drain::{Call, ConnectionId, Drain, Input, Output, Phase, Socket, TooLate};
-pub use held::{Held, HeldDue};
+pub use drain::{AlreadyTerminating, Call, ConnectionId, Drain, Input, Output, Phase, Socket};
+pub use held::{DueRelease, HeldState};
 pub use pacing::{
-    Call as ListCall, Ended as ListEnded, Input as ListInput, Pacing, Phase as ListPhase, Times,
+    Call as ListCall, CallOutcome as ListOutcome, Input as ListInput, Pacing, Phase as ListPhase, Times,
 };
 pub use release::Release;
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,5 +1,6 @@
-//! The core: it owns the routers, the open requests, their attempts and the timers, and knows no wire. An
-//! event and the time go in, outputs come out, in one synchronous call; the fronts and the plug-in share it.
+//! The core of the program: it owns the routers, the open requests with their attempts, and the timers, and knows no wire
+//! protocol. It is given an event and the time, and returns outputs in one synchronous call. The fronts and the plug-in
+//! share it.
 
 mod core;
 mod evidence;
@@ -12,4 +13,4 @@
 pub use self::core::Core;
 pub use self::evidence::Evidence;
 pub use self::message::{Admission, CancelReason, ConnectionChoice, Input, Output, PoolId};
-pub use self::totals::{Handled, Totals};
+pub use self::totals::{ClassTotals, Totals};
--- a/src/transport/hub/message.rs
+++ b/src/transport/hub/message.rs
@@ -11,7 +11,7 @@
 use crate::interface::*;
 use crate::membership::Generation;
 use crate::protocol::figures::Figure;
-use crate::routing::{Admission, Handled, Input, PoolId, Totals};
+use crate::routing::{Admission, ClassTotals, Input, PoolId, Totals};
 use crate::transport::budget::Budget;
 
 /// The message that is sent to a server. It is the same for each attempt of a request.
@@ -110,14 +110,14 @@
     /// The totals over all classes.
     pub totals: Totals,
     /// How requests were handled, by the name of their class.
-    pub handled: Vec<(String, Handled)>,
+    pub handled: Vec<(String, ClassTotals)>,
 }
 
 impl Counters {
     /// Returns the metrics that operators query, under the names that they use.
     pub fn service_metrics(&self) -> Vec<Figure> {
         let mut figures = Vec::new();
-        for (class, Handled { served, refused, failed }) in &self.handled {
+        for (class, ClassTotals { served, refused, failed }) in &self.handled {
             let by_end = [("passed", served), ("dropped", refused), ("bad_gateway", failed)];
             figures
                 .extend(by_end.map(|(end, count)| Figure::counter(format!("handled.{class}.{end}"), *count)));
@@ -172,7 +172,7 @@
 impl Drop for RequestHandle {
     fn drop(&mut self) {
         // After the last part of an answer this has no effect.
-        self.hub.send_detached(Message::Input(Input::Gone(self.id)));
+        self.hub.send_detached(Message::Input(Input::ClientGone(self.id)));
     }
 }
 
--- a/src/transport/hub/mod.rs
+++ b/src/transport/hub/mod.rs
@@ -15,7 +15,7 @@
 use super::peer::{self, Attempt, PeerContext, PeerMessage};
 use crate::interface::*;
 use crate::membership::Generation;
-use crate::routing::{Core, Handled, Input, Output, PoolId};
+use crate::routing::{ClassTotals, Core, Input, Output, PoolId};
 
 /// Capacity of the hub's inbox, in messages.
 const MAILBOX_CAPACITY: usize = 4096;
@@ -159,10 +159,10 @@
 
     /// Returns the counters, added up over all pools.
     fn counters(&self, now: Micros) -> Counters {
-        let mut handled: Vec<(String, Handled)> = Vec::new();
+        let mut handled: Vec<(String, ClassTotals)> = Vec::new();
         for pool in &self.pools {
             // Two pools may have classes of the same name.
-            for (name, counts) in pool.classes.iter().zip(self.core.handled(pool.context.pool)) {
+            for (name, counts) in pool.classes.iter().zip(self.core.class_totals(pool.context.pool)) {
                 match handled.iter_mut().find(|(known, _)| known == name) {
                     Some((_, sum)) => *sum += *counts,
                     None => handled.push((name.clone(), *counts)),
@@ -211,7 +211,7 @@
                 if open.reply.as_ref().is_some_and(oneshot::Sender::is_closed) {
                     let (outcome, kept_tokens, report) = (Outcome::NotSent, 0, None);
                     let ended = Input::Ended { request, attempt, outcome, kept_tokens, report };
-                    return self.send_to_self([Input::Gone(request), ended]);
+                    return self.send_to_self([Input::ClientGone(request), ended]);
                 }
                 let payload = open.payload.clone();
                 let send = Attempt { request, number: attempt, payload, time_left, generation, connection };
@@ -254,7 +254,7 @@
                     None => self.send_to_self([Input::Released(request, false)]),
                 }
             }
-            Output::Hold(pool, request, server) => {
+            Output::HoldPlace(pool, request, server) => {
                 let Some(open) = self.requests.get(&request) else { return };
                 let id = open.payload.id.clone();
                 if let Some(peer) = self.peer(pool, server) {
--- a/src/transport/list/discovery.rs
+++ b/src/transport/list/discovery.rs
@@ -9,7 +9,7 @@
 use super::{ListHandle, ListMessage};
 use crate::interface::{ListScope, Micros};
 use crate::protocol::platform::List;
-use crate::recovery::{ListCall, ListEnded, ListInput, ListPhase, Pacing};
+use crate::recovery::{ListCall, ListInput, ListOutcome, ListPhase, Pacing};
 use crate::transport::clock::Clock;
 use crate::transport::peer::connector::{PeerClient, TrackedBody};
 
@@ -52,14 +52,14 @@
     fn to_input(&self) -> ListInput {
         ListInput::Ended(match self {
             ListError::Timeout(_) => return ListInput::Due,
-            ListError::Call(_) | ListError::Body(_) => ListEnded::Broke,
+            ListError::Call(_) | ListError::Body(_) => ListOutcome::ConnectionLost,
             // Discovery is overloaded, but it has not lost the revision that this watch has reached.
             ListError::Status(status)
                 if status.is_server_error() || *status == StatusCode::TOO_MANY_REQUESTS =>
             {
-                ListEnded::Refused
+                ListOutcome::Refused
             }
-            ListError::Status(_) | ListError::Address | ListError::Json(_) => ListEnded::Unfit,
+            ListError::Status(_) | ListError::Address | ListError::Json(_) => ListOutcome::Invalid,
         })
     }
 }
@@ -74,7 +74,7 @@
                 ListPhase::Pausing { until } => {
                     let due = sleep_until(self.clock.instant(until).into());
                     let input = tokio::select! {
-                        Ok(()) = address_changes.changed() => ListInput::Moved,
+                        Ok(()) = address_changes.changed() => ListInput::AddressChanged,
                         () = due => ListInput::Due,
                     };
                     self.pacing.handle(self.clock.now(), input);
@@ -85,7 +85,7 @@
                         // The old discovery will soon stop answering, and this program is expected to know what the
                         // new one has from now on.
                         Ok(()) = address_changes.changed() => {
-                            self.pacing.handle(self.clock.now(), ListInput::Moved);
+                            self.pacing.handle(self.clock.now(), ListInput::AddressChanged);
                             continue;
                         }
                         answer = timeout_at(self.clock.instant(until).into(), self.request_list(&address, call)) => answer,
@@ -101,8 +101,8 @@
         let now = self.clock.now();
         match answer {
             Ok(list) => {
-                let ended = ListEnded::Answered { revision: list.revision, complete: list.complete };
-                let taken = self.pacing.handle(now, ListInput::Ended(ended));
+                let outcome = ListOutcome::Answered { revision: list.revision, complete: list.complete };
+                let taken = self.pacing.handle(now, ListInput::Ended(outcome));
                 tracing::debug!(
                     revision = list.revision,
                     complete = list.complete,
@@ -126,7 +126,7 @@
     async fn request_list(&self, address: &str, call: ListCall) -> Result<List, ListError> {
         let query_since = |from: u64, hold: Micros| format!("?from={from}&hold_ms={}", hold / 1_000);
         let query = match call {
-            ListCall::Whole => String::new(),
+            ListCall::Full => String::new(),
             ListCall::Check { from } => query_since(from, 0),
             ListCall::Watch { from, hold } => query_since(from, hold),
         };
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -153,14 +153,20 @@
 /// Guards against a silent watch that hides that servers are draining.
 #[test]
 fn drain_right_after_watches_fell_silent_is_noticed_in_time() {
-    let Times { hold, late, resume, answer, .. } = Times::PLATFORM;
-    drain_is_noticed_after_watch_ends(Manner::Hangs, hold + late + resume + answer);
+    let Times { longest_hold, answer_grace, resume_within, answer_within, .. } = Times::PLATFORM;
+    drain_is_noticed_after_watch_ends(
+        Manner::Hangs,
+        longest_hold + answer_grace + resume_within + answer_within,
+    );
 }
 
 /// Guards against the same when all watches are reset.
 #[test]
 fn drain_right_after_watches_were_reset_is_noticed_in_time() {
-    drain_is_noticed_after_watch_ends(Manner::Resets, Times::PLATFORM.resume + Times::PLATFORM.answer);
+    drain_is_noticed_after_watch_ends(
+        Manner::Resets,
+        Times::PLATFORM.resume_within + Times::PLATFORM.answer_within,
+    );
 }
 
 /// Guards against a watch that is not open again when servers drain within seconds of discovery's return.
