--- a/src/transport/list/mod.rs
+++ b/src/transport/list/mod.rs
@@ -288,7 +288,7 @@
                         file.name = %place.file,
                         file.line = place.line,
                         file.column = place.column,
-                        "not taken into service: {refusal}"
+                        "not taken: {refusal}"
                     );
                 }
                 Output::Warn(refusal) => {
