--- a/src/transport/front/connection.rs
+++ b/src/transport/front/connection.rs
@@ -1,5 +1,5 @@
-//! Clients' connections as the descriptor budget sees them: which has a request open, which says nothing,
-//! and which has to make room for others.
+//! Client connections and their share of the descriptor budget: which have an open request, which are idle, and which
+//! are closed when the program drains or other clients need the descriptors.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,312 +11,332 @@
 use crate::recovery::{AlreadyTerminating, Call, ConnectionId, Drain, Input, Output, Phase, Socket};
 use crate::transport::clock::{self, Clock};
 
-/// A connection that has never asked is closed after this: those who connect and say nothing are owed a close.
-const MUTE: Duration = Duration::from_millis(2_200);
-/// One that has been answered may rest for this long while there is room.
-const RESTING: Duration = Duration::from_secs(8);
-/// A request is whole this long after its first byte, or, if it is a connection's first, after the connect:
-/// heads and bodies without end are owed a close or an error.
-const WHOLE_WITHIN: Duration = Duration::from_millis(2_500);
-/// One that has been silent for less is not closed for want of room: its request may be on the way.
-const LEAST_REST: Duration = Duration::from_millis(50);
-/// When no connection can make room, this is waited for one to end.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
-
+/// How long a connection may stay open without ever sending a request. Clients that connect and send nothing have to
+/// be disconnected.
+const UNUSED_TIMEOUT: Duration = Duration::from_millis(2_200);
+/// How long a connection may stay idle after an answer, unless it is evicted sooner.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(8);
+/// How long a request may take to arrive completely, from its first byte or, for a connection's first request, from
+/// the time the connection was accepted. Endless heads and bodies have to be ended by a close or an error.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// A connection that has been idle for less than this is not evicted: its request may be on its way.
+const MIN_IDLE: Duration = Duration::from_millis(50);
+/// How long to wait for a permit before another connection is evicted.
+const EVICTION_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+
+/// What a connection is doing.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Stage {
-    /// Nothing of a request has come.
-    Quiet,
-    /// A part of a head has come.
+    /// No part of a request has arrived.
+    Idle,
+    /// A part of a head has arrived.
     Head,
     /// A request is being read or answered.
     Open,
-    /// Its answer is made, but not all of it is written.
+    /// The answer is complete or given up, but not all of it is written.
     Answered,
     /// The last answer is written: the connection ends.
-    Over,
+    Ended,
 }
 
+/// The state of a connection, behind its mutex.
 struct State {
     stage: Stage,
+    /// When the connection became idle, its latest head began, or its last answer was written.
     since: Instant,
-    /// When the request that is coming has to be whole; of the first one from the start.
+    /// When the request that is arriving has to be complete. For the first request this is set when the connection is
+    /// accepted.
     due: Instant,
-    fresh: bool,
+    /// No request has been opened on the connection yet.
+    unused: bool,
+    /// The connection is to be closed if no request begins on it.
     evicted: bool,
-    /// Bytes of a further request have come already.
-    ahead: bool,
-    /// The answer says that it is the last one.
-    last: bool,
+    /// Bytes of a further request have arrived behind the open one.
+    pipelined: bool,
+    /// The answer announces that it is the last one on the connection.
+    last_answer: bool,
 }
 
-/// One connection.
+/// A client's connection.
 pub struct Connection {
     id: ConnectionId,
-    drain: Arc<Parting>,
+    drain: Arc<DrainDriver>,
     state: Mutex<State>,
-    /// It has become quiet, or has to go.
-    pub stirred: Notify,
+    /// Notified when an answer has been written, and when the connection is evicted.
+    pub changed: Notify,
 }
 
 impl Connection {
-    fn new(id: ConnectionId, drain: Arc<Parting>) -> Self {
+    fn new(id: ConnectionId, drain: Arc<DrainDriver>) -> Self {
         let since = Instant::now();
-        let due = since + WHOLE_WITHIN;
-        let (stage, fresh, evicted, ahead, last) = (Stage::Quiet, true, false, false, false);
-        let state = State { stage, since, due, fresh, evicted, ahead, last };
-        Connection { id, drain, state: Mutex::new(state), stirred: Notify::new() }
+        let due = since + REQUEST_TIMEOUT;
+        let (stage, unused, evicted, pipelined, last_answer) = (Stage::Idle, true, false, false, false);
+        let state = State { stage, since, due, unused, evicted, pipelined, last_answer };
+        Connection { id, drain, state: Mutex::new(state), changed: Notify::new() }
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Bytes of a head have come. What comes while an answer is in the making changes nothing yet.
-    pub fn arriving(&self) {
+    /// Records that bytes of a head have arrived. Has no effect while a request is open: bytes that arrive then belong
+    /// to a later request.
+    pub fn head_started(&self) {
         let mut state = self.state();
-        if state.stage == Stage::Quiet {
+        if state.stage == Stage::Idle {
             (state.stage, state.since, state.evicted) = (Stage::Head, Instant::now(), false);
-            if !state.fresh {
-                state.due = state.since + WHOLE_WITHIN;
+            if !state.unused {
+                state.due = state.since + REQUEST_TIMEOUT;
             }
             drop(state);
             self.drain.feed(Input::RequestStarted(self.id));
         }
     }
 
-    /// Whether bytes of a further request have come behind the one that is open.
-    pub fn ahead(&self, ahead: bool) {
-        self.state().ahead = ahead;
+    /// Records whether bytes of a further request have arrived behind the open one.
+    pub fn set_pipelined(&self, pipelined: bool) {
+        self.state().pipelined = pipelined;
     }
 
-    /// Whether the answer in the making is to be the last one here: clients are sent off, and this one has not
-    /// asked again yet.
-    pub fn is_last(&self) -> bool {
+    /// Decides whether the answer being made is the last one on this connection, and records that. It is the last one
+    /// if clients are sent away and this client has not sent a further request yet.
+    pub fn decide_last_answer(&self) -> bool {
         let mut state = self.state();
-        state.last = self.drain.phase.borrow().closes_after_answer() && !state.ahead;
-        state.last
+        state.last_answer = self.drain.phase.borrow().closes_after_answer() && !state.pipelined;
+        state.last_answer
     }
 
-    /// It is to be closed, unless a request has begun on it.
+    /// Marks the connection as to be closed, which happens unless a request has begun on it.
     pub fn evict(&self) {
         self.state().evicted = true;
-        self.stirred.notify_one();
+        self.changed.notify_one();
     }
 
-    /// Whether it is to be closed and still rests.
-    pub fn evicted(&self) -> bool {
+    /// Returns true if the connection is to be closed and is still idle.
+    pub fn is_evicted(&self) -> bool {
         let state = self.state();
-        state.evicted && state.stage == Stage::Quiet
+        state.evicted && state.stage == Stage::Idle
     }
 
-    /// Its time is over: a resting one is to be closed from now on. False if it does not rest.
-    pub fn overdue(&self) -> bool {
+    /// Evicts the connection if it is idle. Called when its time is over; returns false if it isn't idle.
+    pub fn evict_if_idle(&self) -> bool {
         let mut state = self.state();
-        state.evicted |= state.stage == Stage::Quiet;
-        state.stage == Stage::Quiet
+        state.evicted |= state.stage == Stage::Idle;
+        state.stage == Stage::Idle
     }
 
-    /// Whether it has a request open, or an answer that is not yet written out.
+    /// Returns true if a request is open, or an answer is not fully written yet.
     pub fn is_busy(&self) -> bool {
         matches!(self.state().stage, Stage::Open | Stage::Answered)
     }
 
-    /// A head is complete; gives the time by which its body has to be.
-    pub fn open(&self) -> Instant {
+    /// Records that a head is complete, and returns the time by which its body has to be complete.
+    pub fn open_request(&self) -> Instant {
         let mut state = self.state();
         if state.stage != Stage::Head {
-            // It stood behind the one before: its time begins now.
-            state.due = Instant::now() + WHOLE_WITHIN;
+            // The head arrived behind the previous request, so its time begins now.
+            state.due = Instant::now() + REQUEST_TIMEOUT;
         }
-        (state.stage, state.fresh) = (Stage::Open, false);
+        (state.stage, state.unused) = (Stage::Open, false);
         let due = state.due;
         drop(state);
         self.drain.feed(Input::RequestStarted(self.id));
         due
     }
 
-    /// The answer is made.
+    /// Records that the answer is complete or given up.
     pub fn answered(&self) {
         self.state().stage = Stage::Answered;
     }
 
-    /// All that was made has been written.
+    /// Records that everything produced so far has been written.
     pub fn flushed(&self) {
         let mut state = self.state();
         if state.stage == Stage::Answered {
-            let (stage, told) = match state.last {
-                true => (Stage::Over, Input::Ended(self.id)),
-                false => (Stage::Quiet, Input::Answered(self.id)),
+            let (stage, input) = match state.last_answer {
+                true => (Stage::Ended, Input::Ended(self.id)),
+                false => (Stage::Idle, Input::Answered(self.id)),
             };
             (state.stage, state.since) = (stage, Instant::now());
             drop(state);
-            self.drain.feed(told);
-            self.stirred.notify_one();
+            self.drain.feed(input);
+            self.changed.notify_one();
         }
     }
 
-    /// When it has to be closed if nothing changes; none while it has a request open.
-    pub fn ends(&self) -> Option<Instant> {
+    /// Returns the time at which the connection has to be closed if nothing changes; `None` while a request is open, and
+    /// after the last answer.
+    pub fn close_at(&self) -> Option<Instant> {
         let state = self.state();
         match state.stage {
-            Stage::Quiet if state.evicted => Some(state.since),
-            Stage::Quiet => Some(state.since + if state.fresh { MUTE } else { RESTING }),
+            Stage::Idle if state.evicted => Some(state.since),
+            Stage::Idle => Some(state.since + if state.unused { UNUSED_TIMEOUT } else { IDLE_TIMEOUT }),
             Stage::Head => Some(state.due),
-            Stage::Open | Stage::Answered | Stage::Over => None,
+            Stage::Open | Stage::Answered | Stage::Ended => None,
         }
     }
 }
 
-/// The phases, and what they mean for each connection, as they are carried out.
-struct Parting {
+/// Drives the drain state machine: feeds it with events, and carries out its outputs on the connections.
+struct DrainDriver {
     clock: Clock,
     drain: Mutex<Drain>,
     phase: watch::Sender<Phase>,
-    /// The time of the next thing due may have changed.
-    stirred: Notify,
-    open: Mutex<HashMap<ConnectionId, Arc<Connection>>>,
+    /// Notified when the time at which the drain has to act next may have changed.
+    changed: Notify,
+    /// The open connections.
+    connections: Mutex<HashMap<ConnectionId, Arc<Connection>>>,
 }
 
-impl Parting {
-    fn open(&self) -> MutexGuard<'_, HashMap<ConnectionId, Arc<Connection>>> {
-        self.open.lock().unwrap_or_else(PoisonError::into_inner)
+impl DrainDriver {
+    fn connections(&self) -> MutexGuard<'_, HashMap<ConnectionId, Arc<Connection>>> {
+        self.connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn with<T>(&self, act: impl FnOnce(&mut Drain, crate::interface::Micros, &mut Vec<Output>) -> T) -> T {
-        let mut out = Vec::new();
+    /// Calls a method of the state machine at the current time, then carries out its outputs.
+    fn with<T>(&self, action: impl FnOnce(&mut Drain, crate::interface::Micros, &mut Vec<Output>) -> T) -> T {
+        let mut outputs = Vec::new();
         let mut drain = self.drain.lock().unwrap_or_else(PoisonError::into_inner);
-        let done = act(&mut drain, self.clock.now(), &mut out);
+        let result = action(&mut drain, self.clock.now(), &mut outputs);
         drop(drain);
-        for output in out {
+        for output in outputs {
             match output {
                 Output::Enter(phase) => drop(self.phase.send_replace(phase)),
                 Output::Close(id) => {
-                    if let Some(connection) = self.open().get(&id) {
+                    if let Some(connection) = self.connections().get(&id) {
                         connection.evict();
                     }
                 }
             }
         }
-        done
+        result
     }
 
+    /// Feeds the state machine with an event.
     fn feed(&self, input: Input) {
-        self.with(|drain, now, out| drain.handle(now, input, out));
-        self.stirred.notify_one();
+        self.with(|drain, now, outputs| drain.handle(now, input, outputs));
+        self.changed.notify_one();
     }
 }
 
-/// All connections of clients, over all fronts.
+/// All client connections, over all fronts.
 #[derive(Clone)]
 pub struct Connections {
     permits: Arc<Semaphore>,
-    drain: Arc<Parting>,
+    drain: Arc<DrainDriver>,
     ids: Arc<std::sync::atomic::AtomicU64>,
 }
 
-/// A connection's entry and its part of the budget.
-pub struct Place {
+/// Keeps a connection registered, and holds its permit of the budget. Dropping it removes the connection.
+pub struct ConnectionGuard {
     /// The connection.
     pub connection: Arc<Connection>,
     _permit: OwnedSemaphorePermit,
 }
 
-impl Drop for Place {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.connection.drain.open().remove(&self.connection.id);
+        self.connection.drain.connections().remove(&self.connection.id);
         self.connection.drain.feed(Input::Ended(self.connection.id));
     }
 }
 
 impl Connections {
-    /// At most so many connections, taken from such a socket.
-    pub fn new(most: usize, socket: Socket, clock: Clock) -> Self {
-        let drain = Parting {
+    /// Creates an empty set of at most `max_connections` connections. `socket` says whether the listening socket is
+    /// shared with other processes.
+    pub fn new(max_connections: usize, socket: Socket, clock: Clock) -> Self {
+        let drain = DrainDriver {
             clock,
             drain: Mutex::new(Drain::new(socket)),
             phase: watch::Sender::new(Phase::Starting),
-            stirred: Notify::new(),
-            open: Mutex::default(),
+            changed: Notify::new(),
+            connections: Mutex::default(),
         };
-        Connections { permits: Arc::new(Semaphore::new(most)), drain: Arc::new(drain), ids: Arc::default() }
+        Connections {
+            permits: Arc::new(Semaphore::new(max_connections)),
+            drain: Arc::new(drain),
+            ids: Arc::default(),
+        }
     }
 
-    /// The program's phases as they come.
+    /// Subscribes to the program's phase.
     pub fn phases(&self) -> watch::Receiver<Phase> {
         self.drain.phase.subscribe()
     }
 
-    /// Tells what happens to the program.
+    /// Reports an event of the program to the drain.
     pub fn feed(&self, input: Input) {
         self.drain.feed(input);
     }
 
-    /// Follows an operator's call.
+    /// Carries out an operator's call.
     pub fn call(&self, call: Call) -> Result<(), AlreadyTerminating> {
-        let followed = self.drain.with(|drain, now, out| drain.call(now, call, out));
-        self.drain.stirred.notify_one();
-        followed
+        let result = self.drain.with(|drain, now, outputs| drain.call(now, call, outputs));
+        self.drain.changed.notify_one();
+        result
     }
 
-    /// Does what time asks for, for as long as the program runs.
+    /// Feeds the drain with a tick whenever it has something due. Never returns.
     pub async fn keep_time(self) {
         loop {
-            let due = self.drain.with(|drain, now, out| {
-                drain.handle(now, Input::Tick, out);
+            let due = self.drain.with(|drain, now, outputs| {
+                drain.handle(now, Input::Tick, outputs);
                 drain.next_due()
             });
             tokio::select! {
                 () = clock::sleep_until(due.map(|at| self.drain.clock.instant(at).into())) => {}
-                () = self.drain.stirred.notified() => {}
+                () = self.drain.changed.notified() => {}
             }
         }
     }
 
-    /// Waits for room. Where there is none, the connection that has rested longest makes it: otherwise
-    /// clients that keep theirs for good, or never ask, would shut all others out.
-    pub async fn room(&self) -> OwnedSemaphorePermit {
+    /// Waits for a permit to accept a connection. While there is none, the connection that has been idle longest is
+    /// evicted: otherwise clients that keep their connections forever, or never send a request, would lock out all
+    /// others.
+    pub async fn acquire_permit(&self) -> OwnedSemaphorePermit {
         loop {
             if let Ok(permit) = self.permits.clone().try_acquire_owned() {
                 return permit;
             }
-            self.make_room();
-            let waited = tokio::time::timeout(LOOK_AGAIN, self.permits.clone().acquire_owned()).await;
-            if let Ok(Ok(permit)) = waited {
+            self.evict_longest_idle();
+            let acquired =
+                tokio::time::timeout(EVICTION_RETRY_INTERVAL, self.permits.clone().acquire_owned()).await;
+            if let Ok(Ok(permit)) = acquired {
                 return permit;
             }
         }
     }
 
-    fn make_room(&self) {
+    /// Evicts the connection that has been idle longest, if any has been idle for [`MIN_IDLE`].
+    fn evict_longest_idle(&self) {
         let now = Instant::now();
-        let rested = |connection: &&Arc<Connection>| {
+        let idle_since = |connection: &&Arc<Connection>| {
             let state = connection.state();
-            let rests = state.stage == Stage::Quiet && !state.evicted && state.since + LEAST_REST <= now;
-            rests.then_some(state.since)
+            let is_idle = state.stage == Stage::Idle && !state.evicted && state.since + MIN_IDLE <= now;
+            is_idle.then_some(state.since)
         };
-        let open = self.drain.open();
-        let longest = open
+        let connections = self.drain.connections();
+        let longest_idle = connections
             .values()
-            .filter_map(|connection| Some((rested(&connection)?, connection)))
-            .min_by_key(|(at, _)| *at);
-        if let Some((_, connection)) = longest {
+            .filter_map(|connection| Some((idle_since(&connection)?, connection)))
+            .min_by_key(|(since, _)| *since);
+        if let Some((_, connection)) = longest_idle {
             connection.evict();
         }
     }
 
-    /// Enters a connection.
-    pub fn enter(&self, permit: OwnedSemaphorePermit) -> Place {
+    /// Registers a connection that has been accepted.
+    pub fn register(&self, permit: OwnedSemaphorePermit) -> ConnectionGuard {
         let id = ConnectionId(self.ids.fetch_add(1, std::sync::atomic::Ordering::Relaxed));
         let connection = Arc::new(Connection::new(id, self.drain.clone()));
-        self.drain.open().insert(id, connection.clone());
+        self.drain.connections().insert(id, connection.clone());
         self.drain.feed(Input::Opened(id));
-        Place { connection, _permit: permit }
+        ConnectionGuard { connection, _permit: permit }
     }
 }
 
 impl std::fmt::Debug for Connections {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{} connections", self.drain.open().len())
+        write!(f, "{} connections", self.drain.connections().len())
     }
 }
--- a/src/transport/front/listener.rs
+++ b/src/transport/front/listener.rs
@@ -1,6 +1,6 @@
-//! Takes clients' connections in and serves routes on them: hyper's server connection, with a gate before it
-//! for what that can't be told to do. axum's own loop can't close a connection that says nothing, and hyper
-//! takes a head with two framings for a good one.
+//! Accepts client connections and serves routes on them with hyper's server connection. axum's own accept loop can't
+//! close a connection on which nothing arrives, and hyper accepts a head with two framings as valid. A gate between
+//! the socket and hyper therefore checks each head.
 
 use std::convert::Infallible;
 use std::future::{Future, poll_fn};
@@ -29,31 +29,32 @@
 use tokio::time::Instant;
 use tower::Service;
 
-use super::connection::{Connection, Connections, Place};
+use super::connection::{Connection, ConnectionGuard, Connections};
 use crate::protocol::framing::{Framing, framing};
 use crate::protocol::platform::MOST_BODY;
 use crate::recovery::{Phase, Socket};
 
-/// Bytes read at once while a head is awaited.
-const READ: usize = 2048;
-/// What no parser takes for a head: hyper answers it with 400 and closes.
-const NO_HEAD: &[u8] = b"-\r\n\r\n";
-/// Bytes that are passed over behind the last answer: twice a body that is refused for its length.
-const PASSED_OVER: usize = 2 * MOST_BODY;
-/// The client's end is waited for so long: what it still sends would otherwise have the connection reset, and with it
-/// what it has not read yet of the answer.
-const LINGER: Duration = Duration::from_millis(200);
-
-/// A listener that takes no more connections than the budget has room for; others wait in the kernel's queue.
+/// Size of the read buffer while a head is awaited, in bytes.
+const READ_BYTES: usize = 2048;
+/// A text that no parser accepts as a head. It replaces an invalid head, so that hyper answers with 400 and closes the
+/// connection.
+const INVALID_HEAD: &[u8] = b"-\r\n\r\n";
+/// How many bytes are read and discarded after the last answer: twice the size of the largest accepted body.
+const MAX_DISCARDED_BYTES: usize = 2 * MOST_BODY;
+/// How long to wait for the client to close its side. If the connection were closed at once, bytes that the client still
+/// sends would reset it, and the client would lose what it has not read of the answer yet.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// A listener that accepts no more connections than the budget allows; others wait in the kernel's queue.
 pub struct Listener {
     listener: TcpListener,
     socket: Socket,
     connections: Connections,
 }
 
-/// The time by which a request's body has to be there.
+/// A request extension: the time by which the request's body has to be complete.
 #[derive(Clone, Copy)]
-pub struct WholeBy(pub Instant);
+pub struct BodyDeadline(pub Instant);
 
 impl Listener {
     /// Listens on an address.
@@ -61,153 +62,156 @@
         Ok(Listener { listener: TcpListener::bind(address).await?, socket: Socket::Own, connections })
     }
 
-    /// Listens on a socket that somebody else opened, and that others may hold as well.
+    /// Listens on an inherited socket, which other processes may hold as well.
     pub fn adopt(listener: std::net::TcpListener, connections: Connections) -> io::Result<Self> {
         Ok(Listener { listener: TcpListener::from_std(listener)?, socket: Socket::Shared, connections })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    async fn accept(&self) -> (Gate, Place) {
-        let permit = self.connections.room().await;
+    /// Waits for a permit of the budget, then for a connection.
+    async fn accept(&self) -> (Gate, ConnectionGuard) {
+        let permit = self.connections.acquire_permit().await;
         loop {
             match self.listener.accept().await {
                 Ok((stream, _)) => {
-                    // Without it events would wait for the client's acknowledgements; the rest still works.
+                    // Without this option events would wait for the client's acknowledgements. If it can't be set, the
+                    // connection still works.
                     let _ = stream.set_nodelay(true);
-                    let place = self.connections.enter(permit);
+                    let guard = self.connections.register(permit);
                     let gate = Gate {
                         stream: Arc::new(stream),
-                        connection: place.connection.clone(),
-                        held: BytesMut::new(),
-                        pass: 0,
+                        connection: guard.connection.clone(),
+                        pending: BytesMut::new(),
+                        passable: 0,
                         reading: Reading::Head,
                     };
-                    return (gate, place);
+                    return (gate, guard);
                 }
-                // A connection that is gone already, or descriptors that ran out all the same.
+                // The connection is gone already, or descriptors ran out despite the budget.
                 Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
             }
         }
     }
 
-    /// Serves in the phases in which connections are taken here, then finishes what is open. The own descriptor is
-    /// closed, and no more: others may go on with the socket.
+    /// Accepts connections during the phases that allow it, then waits until the open ones have ended. After the last
+    /// accept only this process's descriptor is closed: other processes may go on accepting from the socket.
     pub async fn serve(self, routes: Router) {
         let mut phases = self.connections.phases();
         let socket = self.socket;
         let _ = phases.wait_for(|phase| phase.accepts_from(socket) || *phase >= Phase::Draining).await;
-        let mut open = JoinSet::new();
+        let mut tasks = JoinSet::new();
         loop {
             tokio::select! {
                 biased;
                 _ = phases.wait_for(|phase| !phase.accepts_from(socket)) => break,
-                (gate, place) = self.accept() => drop(open.spawn(tend(gate, place, routes.clone()))),
-                Some(_) = open.join_next() => {}
+                (gate, guard) = self.accept() => drop(tasks.spawn(serve_and_close(gate, guard, routes.clone()))),
+                Some(_) = tasks.join_next() => {}
             }
         }
         drop(self);
-        while open.join_next().await.is_some() {}
+        while tasks.join_next().await.is_some() {}
     }
 }
 
-/// Keeps one connection from its start to its close; its place is free only then.
-async fn tend(gate: Gate, place: Place, routes: Router) {
+/// Serves a connection and closes it. Its permit is returned to the budget only after the close.
+async fn serve_and_close(gate: Gate, guard: ConnectionGuard, routes: Router) {
     let stream = gate.stream.clone();
-    // Whatever waits for an answer here is dropped before the client's end is waited for.
+    // When this returns, requests that still wait for an answer have been dropped, before the lingering close.
     serve(gate, routes).await;
     linger(&stream).await;
-    drop((stream, place));
+    drop((stream, guard));
 }
 
-/// Ends a connection: its write side is shut, and what still comes is passed over until the client ends it as well.
-/// Nothing that is read from then on is a request.
+/// Closes a connection with a lingering close: shuts down the write side, then reads and discards what still arrives
+/// until the client closes its side. Nothing that is read here is treated as a request.
 pub(super) async fn linger(stream: &TcpStream) {
-    // The client has ended it all already, or the system has.
+    // The connection has already been closed by the client or the system.
     if SockRef::from(stream).shutdown(Shutdown::Write).is_err() {
         return;
     }
-    let pass_over = async {
-        let mut passed_over = 0;
-        while passed_over < PASSED_OVER && stream.readable().await.is_ok() {
-            let mut space = [0; 8 * READ];
-            match stream.try_read(&mut space) {
+    let discard = async {
+        let mut discarded = 0;
+        while discarded < MAX_DISCARDED_BYTES && stream.readable().await.is_ok() {
+            let mut buffer = [0; 8 * READ_BYTES];
+            match stream.try_read(&mut buffer) {
                 Ok(0) => return,
-                Ok(more) => passed_over += more,
+                Ok(length) => discarded += length,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(_) => return,
             }
         }
     };
-    let _ = tokio::time::timeout(LINGER, pass_over).await;
+    let _ = tokio::time::timeout(LINGER_TIMEOUT, discard).await;
 }
 
-/// Serves one connection until it ends, is idle or late for too long, or has to go.
+/// Serves a connection until it ends, it is idle for too long, a request arrives too late, or it is evicted.
 async fn serve(gate: Gate, routes: Router) {
     let connection = gate.connection.clone();
     let stream = gate.stream.clone();
-    let mut hung_up = pin!(hung_up(stream.clone()));
-    let mut gone = false;
+    let mut hang_up = pin!(wait_for_hang_up(stream.clone()));
+    let mut client_gone = false;
     let service = service_fn(|request| answer(request, routes.clone(), connection.clone()));
     let mut http = pin!(http1::Builder::new().serve_connection(TokioIo::new(gate), service));
-    // Each look reads what has come. hyper looks for the client's end only while it has nothing more to read, so a
-    // further request hides it.
-    let mut look = |cx: &mut Context<'_>| {
+    // Each poll reads what has arrived. hyper notices that the client has closed only when it has nothing more to read,
+    // so a pipelined request would hide the close.
+    let mut poll_connection = |cx: &mut Context<'_>| {
         let was_busy = connection.is_busy();
         let ended = http.as_mut().poll(cx).is_ready();
-        // A request that has just been read is still on its way to the module, so this is in time for it.
-        gone = gone || hung_up.as_mut().poll(cx).is_ready();
-        gone = gone || !was_busy && connection.is_busy() && has_hung_up(&stream);
-        ended || gone && connection.is_busy()
+        // A request that has just been read is still on its way to the hub, so this check is in time to stop it.
+        client_gone = client_gone || hang_up.as_mut().poll(cx).is_ready();
+        client_gone = client_gone || !was_busy && connection.is_busy() && has_hung_up(&stream);
+        ended || client_gone && connection.is_busy()
     };
     loop {
-        let ends = connection.ends();
-        if ends.is_some_and(|at| at <= Instant::now()) {
-            if !connection.overdue() {
+        let close_at = connection.close_at();
+        if close_at.is_some_and(|at| at <= Instant::now()) {
+            if !connection.evict_if_idle() {
                 return;
             }
-            // The gate looks once more for a request that has just come, and ends the connection if there is none.
-            let ended = poll_fn(|cx| Poll::Ready(look(cx))).await;
-            if ended || connection.evicted() {
+            // The gate checks once more for a request that has just arrived, and ends the connection if there is none.
+            let ended = poll_fn(|cx| Poll::Ready(poll_connection(cx))).await;
+            if ended || connection.is_evicted() {
                 return;
             }
             continue;
         }
-        let ended = poll_fn(|cx| if look(cx) { Poll::Ready(()) } else { Poll::Pending });
+        let ended = poll_fn(|cx| if poll_connection(cx) { Poll::Ready(()) } else { Poll::Pending });
         tokio::select! {
             () = ended => return,
-            () = connection.stirred.notified() => {}
-            () = crate::transport::clock::sleep_until(ends) => {}
+            () = connection.changed.notified() => {}
+            () = crate::transport::clock::sleep_until(close_at) => {}
         }
     }
 }
 
-/// Ends once the client has shut its side or reset the connection, also behind bytes that nobody has read. What it
-/// waits for is urgent data or that end, and the first is never told: sockets are registered for plain data only.
-async fn hung_up(stream: Arc<TcpStream>) {
+/// Returns once the client has shut down its write side or reset the connection, even if unread bytes precede that.
+/// The interest covers urgent data and this end; urgent data is never reported because sockets are registered for
+/// plain data only.
+async fn wait_for_hang_up(stream: Arc<TcpStream>) {
     let _ = stream.ready(Interest::PRIORITY).await;
 }
 
-/// Whether the client has shut its side or reset the connection by now, as the system itself knows it. The runtime
-/// takes a stream that it has just accepted for readable, before it has heard of that end.
-#[allow(unsafe_code, reason = "what hides behind unread bytes can be asked only of the system")]
+/// Asks the system whether the client has shut down its write side or reset the connection by now. The runtime
+/// considers a stream that it has just accepted to be readable, before it has received the event for that end.
+#[allow(unsafe_code, reason = "only a system call shows an end that lies behind unread bytes")]
 fn has_hung_up(stream: &TcpStream) -> bool {
-    let mut asked = libc::pollfd { fd: stream.as_raw_fd(), events: libc::POLLRDHUP, revents: 0 };
-    // SAFETY: one entry, which lives as long as the call; the descriptor is the stream's, which is borrowed.
-    let told = unsafe { libc::poll(&raw mut asked, 1, 0) };
-    told > 0 && asked.revents & (libc::POLLRDHUP | libc::POLLHUP | libc::POLLERR) != 0
+    let mut poll_fd = libc::pollfd { fd: stream.as_raw_fd(), events: libc::POLLRDHUP, revents: 0 };
+    // SAFETY: the pointer refers to one entry, which outlives the call; the descriptor belongs to the borrowed stream.
+    let ready_count = unsafe { libc::poll(&raw mut poll_fd, 1, 0) };
+    ready_count > 0 && poll_fd.revents & (libc::POLLRDHUP | libc::POLLHUP | libc::POLLERR) != 0
 }
 
-/// Reads what has come on a connection.
-fn read(stream: &TcpStream, cx: &mut Context<'_>, out: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+/// Reads from a connection; waits while nothing has arrived.
+fn read(stream: &TcpStream, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
     loop {
         ready!(stream.poll_read_ready(cx))?;
-        match stream.try_read(out.initialize_unfilled()) {
+        match stream.try_read(buf.initialize_unfilled()) {
             Ok(read) => {
-                out.advance(read);
+                buf.advance(read);
                 return Poll::Ready(Ok(()));
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
@@ -216,55 +220,58 @@
     }
 }
 
-/// Writes by what is tried whenever a connection takes more.
+/// Retries a write operation, each time the connection becomes writable, until it doesn't report `WouldBlock`.
 fn write(
     stream: &TcpStream,
     cx: &mut Context<'_>,
-    attempt: impl Fn(&TcpStream) -> io::Result<usize>,
+    operation: impl Fn(&TcpStream) -> io::Result<usize>,
 ) -> Poll<io::Result<usize>> {
     loop {
         ready!(stream.poll_write_ready(cx))?;
-        match attempt(stream) {
+        match operation(stream) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             written => return Poll::Ready(written),
         }
     }
 }
 
+/// Answers a request with the routes, and decides whether the connection closes after the answer.
 async fn answer(
     request: Request<Incoming>,
     mut routes: Router,
     connection: Arc<Connection>,
-) -> Result<Response<Answer>, Infallible> {
+) -> Result<Response<AnswerBody>, Infallible> {
     let mut request = request.map(Body::new);
-    request.extensions_mut().insert(WholeBy(connection.open()));
-    let busy = Busy(connection);
-    let mut last = request.headers().contains_key(TRANSFER_ENCODING);
+    request.extensions_mut().insert(BodyDeadline(connection.open_request()));
+    let busy = BusyGuard(connection);
+    let mut close_after = request.headers().contains_key(TRANSFER_ENCODING);
     let mut response = routes.call(request).await?;
-    last |= [StatusCode::REQUEST_TIMEOUT, StatusCode::PAYLOAD_TOO_LARGE].contains(&response.status());
-    last |= busy.0.is_last();
-    if last {
-        // The gate does not know where such a request ends: nothing behind it may be taken for another.
+    close_after |= [StatusCode::REQUEST_TIMEOUT, StatusCode::PAYLOAD_TOO_LARGE].contains(&response.status());
+    close_after |= busy.0.decide_last_answer();
+    if close_after {
+        // The gate does not know where a chunked request or one with an unread body ends, so nothing behind it may be
+        // treated as another request.
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    Ok(response.map(|body| Answer { body, _busy: busy }))
+    Ok(response.map(|body| AnswerBody { body, _busy: busy }))
 }
 
-/// Marks a connection as busy until the answer is made or given up.
-struct Busy(Arc<Connection>);
+/// Marks a connection as busy until the answer is complete or given up.
+struct BusyGuard(Arc<Connection>);
 
-impl Drop for Busy {
+impl Drop for BusyGuard {
     fn drop(&mut self) {
         self.0.answered();
     }
 }
 
-struct Answer {
+/// The body of an answer, which keeps its connection marked as busy.
+struct AnswerBody {
     body: Body,
-    _busy: Busy,
+    _busy: BusyGuard,
 }
 
-impl http_body::Body for Answer {
+impl http_body::Body for AnswerBody {
     type Data = bytes::Bytes;
     type Error = axum::Error;
 
@@ -284,57 +291,59 @@
     }
 }
 
+/// The part of a request that the gate is reading.
 enum Reading {
-    /// A head is awaited; what has come of it is held back until it is whole.
+    /// A head, which is held back until it is complete.
     Head,
-    /// So many bytes of a body are still to come.
+    /// A body of which this many bytes are still to arrive.
     Body(u64),
-    /// All that comes passes; the connection ends with this request.
+    /// Everything that arrives is passed on; the connection ends with this request.
     Rest,
 }
 
-/// A client's connection, on which only whole and unambiguous heads pass.
+/// A client connection that passes only complete and unambiguous heads on to hyper.
 struct Gate {
-    /// Shared with whoever waits for the client's end.
+    /// Shared with the futures that wait for the client to close its side.
     stream: Arc<TcpStream>,
     connection: Arc<Connection>,
-    held: BytesMut,
-    /// So much of what is held may pass.
-    pass: usize,
+    /// Bytes that have been read from the stream and not passed on yet.
+    pending: BytesMut,
+    /// How many of the pending bytes may be passed on.
+    passable: usize,
     reading: Reading,
 }
 
 impl Gate {
-    /// Looks at what is held while a head is awaited.
-    fn look(&mut self) {
-        match framing(&self.held) {
+    /// Parses the pending bytes as a head, and makes them passable once the head is complete.
+    fn parse_head(&mut self) {
+        match framing(&self.pending) {
             Framing::Partial => {}
             Framing::Sized(head, body) => {
-                self.pass = head;
+                self.passable = head;
                 self.reading = if body == 0 { Reading::Head } else { Reading::Body(body) };
             }
             Framing::Chunked(head) => {
-                self.pass = head;
+                self.passable = head;
                 self.reading = Reading::Rest;
             }
             Framing::Bad => {
-                self.held = BytesMut::from(NO_HEAD);
-                self.pass = NO_HEAD.len();
+                self.pending = BytesMut::from(INVALID_HEAD);
+                self.passable = INVALID_HEAD.len();
                 self.reading = Reading::Rest;
             }
         }
     }
 
-    /// Passes on what is held and may pass.
-    fn hand_on(&mut self, out: &mut ReadBuf<'_>) -> bool {
-        let most = self.pass.min(out.remaining());
-        out.put_slice(&self.held[..most]);
-        self.held.advance(most);
-        self.pass -= most;
-        if most > 0 && self.pass == 0 && matches!(self.reading, Reading::Head) {
-            self.connection.ahead(!self.held.is_empty());
+    /// Passes on the passable bytes, as far as the buffer has space. Returns false if nothing was passed on.
+    fn pass_on(&mut self, buf: &mut ReadBuf<'_>) -> bool {
+        let length = self.passable.min(buf.remaining());
+        buf.put_slice(&self.pending[..length]);
+        self.pending.advance(length);
+        self.passable -= length;
+        if length > 0 && self.passable == 0 && matches!(self.reading, Reading::Head) {
+            self.connection.set_pipelined(!self.pending.is_empty());
         }
-        most > 0
+        length > 0
     }
 }
 
@@ -342,63 +351,65 @@
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        out: &mut ReadBuf<'_>,
+        buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let gate = &mut *self;
-        if out.remaining() == 0 {
+        if buf.remaining() == 0 {
             return Poll::Ready(Ok(()));
         }
         loop {
-            if gate.hand_on(out) {
+            if gate.pass_on(buf) {
                 return Poll::Ready(Ok(()));
             }
             match gate.reading {
                 Reading::Head => {
-                    if !gate.held.is_empty() {
-                        gate.connection.arriving();
-                        gate.look();
-                        if gate.pass > 0 {
+                    if !gate.pending.is_empty() {
+                        gate.connection.head_started();
+                        gate.parse_head();
+                        if gate.passable > 0 {
                             continue;
                         }
                     }
-                    let mut space = [0; READ];
-                    let mut part = ReadBuf::new(&mut space);
-                    if gate.held.is_empty() && gate.connection.evicted() {
-                        // Past what the runtime has heard of: it may have come since. Anything else is the end.
-                        let came =
-                            (&*SockRef::from(&*gate.stream)).read(part.initialize_unfilled()).unwrap_or(0);
-                        part.advance(came);
+                    let mut buffer = [0; READ_BYTES];
+                    let mut read_buf = ReadBuf::new(&mut buffer);
+                    if gate.pending.is_empty() && gate.connection.is_evicted() {
+                        // Read directly from the socket: a request may have arrived since the runtime's last
+                        // readiness event. If there is none, the connection ends.
+                        let received = (&*SockRef::from(&*gate.stream))
+                            .read(read_buf.initialize_unfilled())
+                            .unwrap_or(0);
+                        read_buf.advance(received);
                     } else {
-                        ready!(read(&gate.stream, cx, &mut part))?;
+                        ready!(read(&gate.stream, cx, &mut read_buf))?;
                     }
-                    if part.filled().is_empty() {
+                    if read_buf.filled().is_empty() {
                         return Poll::Ready(Ok(()));
                     }
-                    gate.held.extend_from_slice(part.filled());
+                    gate.pending.extend_from_slice(read_buf.filled());
                 }
-                Reading::Body(left) if !gate.held.is_empty() => {
-                    gate.pass = usize::try_from(left).unwrap_or(usize::MAX).min(gate.held.len());
-                    gate.count(gate.pass);
+                Reading::Body(left) if !gate.pending.is_empty() => {
+                    gate.passable = usize::try_from(left).unwrap_or(usize::MAX).min(gate.pending.len());
+                    gate.count_body_bytes(gate.passable);
                 }
                 Reading::Body(left) => {
-                    let most = usize::try_from(left).unwrap_or(usize::MAX).min(out.remaining());
-                    let mut part = ReadBuf::new(out.initialize_unfilled_to(most));
-                    ready!(read(&gate.stream, cx, &mut part))?;
-                    let read = part.filled().len();
-                    out.advance(read);
-                    gate.count(read);
+                    let limit = usize::try_from(left).unwrap_or(usize::MAX).min(buf.remaining());
+                    let mut read_buf = ReadBuf::new(buf.initialize_unfilled_to(limit));
+                    ready!(read(&gate.stream, cx, &mut read_buf))?;
+                    let read = read_buf.filled().len();
+                    buf.advance(read);
+                    gate.count_body_bytes(read);
                     return Poll::Ready(Ok(()));
                 }
-                Reading::Rest if !gate.held.is_empty() => gate.pass = gate.held.len(),
-                Reading::Rest => return read(&gate.stream, cx, out),
+                Reading::Rest if !gate.pending.is_empty() => gate.passable = gate.pending.len(),
+                Reading::Rest => return read(&gate.stream, cx, buf),
             }
         }
     }
 }
 
 impl Gate {
-    /// So many bytes of the body have come.
-    fn count(&mut self, read: usize) {
+    /// Counts bytes of the body as read.
+    fn count_body_bytes(&mut self, read: usize) {
         if let Reading::Body(left) = self.reading {
             let left = left.saturating_sub(read as u64);
             self.reading = if left == 0 { Reading::Head } else { Reading::Body(left) };
@@ -430,7 +441,7 @@
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         match SockRef::from(&*self.stream).shutdown(Shutdown::Write) {
-            // The client has ended it all already.
+            // `NotConnected`: the client has already closed the connection.
             Err(error) if error.kind() != io::ErrorKind::NotConnected => Poll::Ready(Err(error)),
             _ => Poll::Ready(Ok(())),
         }
--- a/src/transport/front/mod.rs
+++ b/src/transport/front/mod.rs
@@ -1,4 +1,5 @@
-//! What clients reach: the listener and the gate before their connections, and a handler for each protocol.
+//! The fronts that clients and operators connect to: the listener with the gate that checks each connection, and the
+//! handlers of each protocol.
 
 pub mod connection;
 pub mod listener;
--- a/src/transport/front/operators.rs
+++ b/src/transport/front/operators.rs
@@ -1,5 +1,5 @@
-//! The operators' front: one call a connection, at an address of its own, so that no crowd of clients can shut
-//! the operators out.
+//! The operators' front. It serves one call per connection, at an address of its own, so that clients can't lock the
+//! operators out, however many there are.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -29,25 +29,26 @@
 use crate::recovery::{Call, Phase};
 use crate::transport::hub::message::Hub;
 
-/// Callers that may be connected at once, beside one that is just being taken; they are counted against the budget's reserve.
-pub const MOST_CALLERS: usize = 16;
-/// A call is whole, and its answer taken, within this.
-const CALL_WITHIN: Duration = Duration::from_secs(5);
-/// The largest body of a call; none has a use for one.
-const MOST_BODY: usize = 4 * 1024;
-/// The least that hyper takes: heads beyond it are answered 431.
-const MOST_HEAD: usize = 8 * 1024;
-
-/// What the handlers share.
+/// How many callers may be connected at once, besides one that is just being accepted. Their descriptors come out of
+/// those that the budget reserves.
+pub const MAX_CALLERS: usize = 16;
+/// How long a call may take to arrive completely and have its answer read.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Size limit in bytes of a call's body; no call needs one.
+const MAX_BODY_BYTES: usize = 4 * 1024;
+/// Size limit in bytes of a call's head, the lowest that hyper allows. Longer heads are answered with 431.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+
+/// The state that the handlers of the operators' front share.
 #[derive(Clone)]
 pub struct Operators {
-    /// The clients' connections, and what the phases mean for them.
+    /// The client connections and the program's phase.
     pub connections: Connections,
-    /// Who counts.
+    /// The hub, which has the counters.
     pub hub: Hub,
 }
 
-/// The routes of the operators' front.
+/// Returns the routes of the operators' front.
 pub fn routes(operators: Operators) -> Router {
     Router::new()
         .route("/healthcheck", get(health))
@@ -57,6 +58,7 @@
         .with_state(operators)
 }
 
+/// Says whether the program can serve, even if clients are sent away.
 async fn health(State(operators): State<Operators>) -> Response {
     let phase = *operators.connections.phases().borrow();
     let (status, text) = match phase {
@@ -70,27 +72,31 @@
     (status, text).into_response()
 }
 
+/// Sends the clients away.
 async fn fail(State(operators): State<Operators>) -> Response {
-    follow(&operators, Call::Away, "clients are sent away; POST /healthcheck/ok takes them back\n")
+    apply_call(&operators, Call::Away, "clients are sent away; POST /healthcheck/ok takes them back\n")
 }
 
+/// Resumes service after clients were sent away.
 async fn ok(State(operators): State<Operators>) -> Response {
-    follow(&operators, Call::Resume, "back to work\n")
+    apply_call(&operators, Call::Resume, "back to work\n")
 }
 
-fn follow(operators: &Operators, call: Call, done: &'static str) -> Response {
+/// Carries out a call and answers with the confirmation, or with 409 if the process is terminating already.
+fn apply_call(operators: &Operators, call: Call, confirmation: &'static str) -> Response {
     match operators.connections.call(call) {
-        Ok(()) => (StatusCode::OK, done).into_response(),
+        Ok(()) => (StatusCode::OK, confirmation).into_response(),
         Err(error) => (StatusCode::CONFLICT, format!("no: {error}\n")).into_response(),
     }
 }
 
+/// Returns the service metrics, one per line.
 async fn stats(State(operators): State<Operators>) -> Response {
-    let counted = operators.hub.counters().await;
-    (StatusCode::OK, figures::lines(&counted.service_metrics())).into_response()
+    let counters = operators.hub.counters().await;
+    (StatusCode::OK, figures::lines(&counters.service_metrics())).into_response()
 }
 
-/// Where operators call.
+/// The listener of the operators' front.
 pub struct OperatorsListener {
     listener: TcpListener,
 }
@@ -101,52 +107,54 @@
         Ok(OperatorsListener { listener: TcpListener::bind(address).await? })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Answers for as long as the program runs. Of too many callers the one that has waited longest goes: whoever
-    /// has sent a whole call is answered at once, so that one is waiting for nothing.
+    /// Answers calls for as long as the program runs. When too many callers are connected, the oldest connection is
+    /// dropped: a complete call is answered at once, so that caller has not sent one.
     pub async fn serve(self, routes: Router) {
-        let mut calls = JoinSet::new();
+        let mut tasks = JoinSet::new();
         let mut callers: VecDeque<AbortHandle> = VecDeque::new();
         loop {
             tokio::select! {
                 accepted = self.listener.accept() => match accepted {
                     Ok((stream, _)) => {
                         callers.retain(|caller| !caller.is_finished());
-                        if callers.len() >= MOST_CALLERS && let Some(longest) = callers.pop_front() {
-                            longest.abort();
+                        if callers.len() >= MAX_CALLERS && let Some(oldest) = callers.pop_front() {
+                            oldest.abort();
                         }
-                        // Its descriptor is free only once its task has ended, and many may come in one turn.
-                        while calls.len() >= MOST_CALLERS && calls.join_next().await.is_some() {}
-                        callers.push_back(calls.spawn(call(stream, routes.clone())));
+                        // A descriptor is free only once its task has ended, and many callers may be accepted before
+                        // the runtime gets to run the aborted tasks.
+                        while tasks.len() >= MAX_CALLERS && tasks.join_next().await.is_some() {}
+                        callers.push_back(tasks.spawn(serve_call(stream, routes.clone())));
                     }
-                    // A caller that is gone already, or descriptors that ran out all the same.
+                    // The caller is gone already, or descriptors ran out despite the budget.
                     Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
                 },
-                Some(_) = calls.join_next() => {}
+                Some(_) = tasks.join_next() => {}
             }
         }
     }
 }
 
-async fn call(stream: TcpStream, routes: Router) {
+/// Serves one call on a connection, then closes the connection.
+async fn serve_call(stream: TcpStream, routes: Router) {
     let service = service_fn(|request| Box::pin(answer(request, routes.clone())));
     let mut connection = http1::Builder::new();
-    connection.keep_alive(false).max_buf_size(MOST_HEAD).timer(TokioTimer::new());
+    connection.keep_alive(false).max_buf_size(MAX_HEAD_BYTES).timer(TokioTimer::new());
     let mut connection = connection.serve_connection(TokioIo::new(stream), service);
-    // Whoever sends no whole call, or does not take its answer, is owed nothing.
+    // A caller that doesn't complete its call or read the answer in time is disconnected without an answer.
     let served = poll_fn(|cx| connection.poll_without_shutdown(cx));
-    let _ = tokio::time::timeout(CALL_WITHIN, served).await;
+    let _ = tokio::time::timeout(CALL_TIMEOUT, served).await;
     linger(&connection.into_parts().io.into_inner()).await;
 }
 
-/// Answers a call once it is whole.
+/// Answers a call once its body has been read.
 async fn answer(request: Request<Incoming>, mut routes: Router) -> Result<Response, Infallible> {
     let (head, body) = request.into_parts();
-    match Limited::new(body, MOST_BODY).collect().await {
+    match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(_) => routes.call(Request::from_parts(head, Body::empty())).await,
         Err(_) => Ok((StatusCode::PAYLOAD_TOO_LARGE, "a call needs no body\n").into_response()),
     }
--- a/src/transport/front/platform.rs
+++ b/src/transport/front/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's front: clients over HTTP/1.1.
+//! The platform's front: serves clients over HTTP/1.1.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use tokio::sync::watch;
 
-use super::listener::WholeBy;
+use super::listener::BodyDeadline;
 use crate::interface::Micros;
 use crate::protocol::platform::{self, MOST_BODY};
 use crate::protocol::settings::Names;
@@ -23,37 +23,38 @@
 use crate::routing::{Admission, PoolId};
 use crate::transport::hub::message::{Body, Hub, IncompleteStream, Part, Payload, Reply, RequestHandle};
 
-/// What the handlers of the platform's front share.
+/// The state that the handlers of the platform's front share.
 #[derive(Clone)]
 pub struct Front {
-    /// The way to the module.
+    /// The hub, to which requests are submitted.
     pub hub: Hub,
-    /// The platform's pool.
+    /// The pool of the platform's servers.
     pub pool: PoolId,
-    /// The names of the settings.
+    /// The names that the settings give to classes and the like, which headers refer to.
     pub names: Arc<Names>,
-    /// Where the program stands.
+    /// The program's phase.
     pub phase: watch::Receiver<Phase>,
 }
 
-/// The routes of the platform's front.
+/// Returns the routes of the platform's front.
 pub fn routes(front: Front) -> Router {
-    Router::new().route("/up", get(up)).route("/v1/{*path}", post(take)).with_state(front)
+    Router::new().route("/up", get(up)).route("/v1/{*path}", post(handle_request)).with_state(front)
 }
 
+/// Answers 200 while new clients are invited.
 async fn up(State(front): State<Front>) -> StatusCode {
     if *front.phase.borrow() == Phase::Serving { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }
 }
 
-/// Reads a body; the status that refuses it otherwise. A length that is too large is refused before the bytes
-/// have come, and one that does not arrive when its time is over.
-pub async fn read_body(whole_by: Option<WholeBy>, body: axum::body::Body) -> Result<Bytes, StatusCode> {
+/// Reads a body, or returns the status that refuses it. A body whose declared length is too large is refused before it
+/// arrives, and one that is incomplete at the deadline is refused then.
+pub async fn read_body(deadline: Option<BodyDeadline>, body: axum::body::Body) -> Result<Bytes, StatusCode> {
     if body.size_hint().lower() > MOST_BODY as u64 {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
     let body = Limited::new(body, MOST_BODY).collect();
-    let read = match whole_by {
-        Some(WholeBy(at)) => tokio::time::timeout_at(at, body).await,
+    let read = match deadline {
+        Some(BodyDeadline(deadline)) => tokio::time::timeout_at(deadline, body).await,
         None => Ok(body.await),
     };
     match read {
@@ -64,7 +65,8 @@
     }
 }
 
-async fn take(State(front): State<Front>, request: Request) -> Response {
+/// Submits a request to the hub and answers with the server's stream, or with the status of the failure.
+async fn handle_request(State(front): State<Front>, request: Request) -> Response {
     let (head, body) = request.into_parts();
     let heading = match platform::heading(&head.headers, &front.names) {
         Ok(heading) => heading,
@@ -84,19 +86,23 @@
     let payload = Payload { id: heading.id, method: head.method, path, headers, body };
     let admission = Admission { pool: front.pool, request: heading.request, time_left: heading.time_left };
     match front.hub.submit(admission, payload).await {
-        (Reply::Stream(body), ticket) => {
-            let kind = body.content_type.clone().unwrap_or(HeaderValue::from_static("text/event-stream"));
-            ([(CONTENT_TYPE, kind)], axum::body::Body::new(Events { body, broken: false, _ticket: ticket }))
+        (Reply::Stream(body), request_handle) => {
+            let content_type =
+                body.content_type.clone().unwrap_or(HeaderValue::from_static("text/event-stream"));
+            (
+                [(CONTENT_TYPE, content_type)],
+                axum::body::Body::new(EventBody { body, broken_off: false, _request_handle: request_handle }),
+            )
                 .into_response()
         }
         (Reply::Refused(retry_after), _) => {
             let mut response = StatusCode::SERVICE_UNAVAILABLE.into_response();
-            if let Some(seconds) = retry_after.map(seconds).and_then(|text| text.parse().ok()) {
+            if let Some(seconds) = retry_after.map(format_seconds).and_then(|text| text.parse().ok()) {
                 response.headers_mut().insert(RETRY_AFTER, seconds);
             }
             response
         }
-        // Never 429 or 503: those promise that trying again is harmless.
+        // Failures are never answered with 429 or 503, which promise that a retry is harmless.
         (Reply::Failed { overdue: true, .. }, _) => StatusCode::GATEWAY_TIMEOUT.into_response(),
         (Reply::Failed { may_have_run: true, .. }, _) => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
         (Reply::IdInUse, _) => StatusCode::CONFLICT.into_response(),
@@ -104,24 +110,26 @@
     }
 }
 
-fn seconds(time: Micros) -> String {
+/// Formats a time span in seconds with three decimal places.
+fn format_seconds(time: Micros) -> String {
     format!("{}.{:03}", time / 1_000_000, time / 1000 % 1000)
 }
 
-/// A server's events on their way to the client; dropping it tells that the client has left.
-struct Events<T = RequestHandle> {
+/// The body of a streamed answer: relays a server's events to the client. Dropping it reports that the client has left.
+struct EventBody<T = RequestHandle> {
     body: Body,
-    /// The answer has broken off, and what came of it is being written.
-    broken: bool,
-    _ticket: T,
+    /// The server's answer has broken off, and the part that arrived is still being written.
+    broken_off: bool,
+    _request_handle: T,
 }
 
-impl<T: Unpin> http_body::Body for Events<T> {
+impl<T: Unpin> http_body::Body for EventBody<T> {
     type Data = Bytes;
     type Error = IncompleteStream;
 
-    /// An answer that broke off is an error here, so that the connection ends without the last chunk. It comes one turn
-    /// later: with an error hyper drops what it has not written yet, and an answer of which nothing came is lost.
+    /// Returns an error for an answer that broke off, so that the connection ends without the last chunk. The error is
+    /// returned one poll later: on an error hyper drops what it has not written yet, and if nothing of the answer reaches
+    /// the client, the request is lost.
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -129,9 +137,9 @@
         Poll::Ready(match ready!(self.body.parts.poll_recv(cx)) {
             Some(Part::Data(bytes)) => Some(Ok(Frame::data(bytes))),
             Some(Part::End) => None,
-            None if self.broken => Some(Err(IncompleteStream)),
+            None if self.broken_off => Some(Err(IncompleteStream)),
             None => {
-                self.broken = true;
+                self.broken_off = true;
                 cx.waker().wake_by_ref();
                 return Poll::Pending;
             }
--- a/src/transport/front/rpc.rs
+++ b/src/transport/front/rpc.rs
@@ -1,4 +1,4 @@
-//! The JSON-RPC front: tool calls over HTTP POST, answered as a stream of server-sent events.
+//! The JSON-RPC front: serves tool calls over HTTP POST, and answers with a stream of server-sent events.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -24,45 +24,47 @@
 use crate::protocol::settings::digest;
 use crate::transport::relay::{Call, ClientSender, Relay, Tool};
 
-/// Messages to a client that may wait.
-const MESSAGES_AHEAD: usize = 64;
-/// Header that names the session within which a client's ids are its own.
-const SESSION: &str = "x-session-key";
+/// How many messages to a client may be queued.
+const MESSAGE_QUEUE_CAPACITY: usize = 64;
+/// The header that names a client's session, which is the scope of the ids of its calls.
+const SESSION_HEADER: &str = "x-session-key";
 
-/// The session that a client names, and the id that it gave a call, as text.
-type OpenId = (String, String);
+/// Identifies an open call: the session that the client named, and the call's id as JSON text.
+type CallKey = (String, String);
 
-/// What the handlers of the JSON-RPC front share.
+/// The state that the handlers of the JSON-RPC front share.
 #[derive(Clone)]
 pub struct RpcFront {
     relay: Relay,
-    /// The open calls of clients that name a session, and what calls each off.
-    open: Arc<Mutex<HashMap<OpenId, Arc<Notify>>>>,
+    /// The open calls of clients that name a session, each with the notification that cancels it.
+    open_calls: Arc<Mutex<HashMap<CallKey, Arc<Notify>>>>,
 }
 
 impl RpcFront {
-    /// A front that relays calls so.
+    /// Creates a front that relays calls with this relay.
     pub fn new(relay: Relay) -> Self {
-        RpcFront { relay, open: Arc::default() }
+        RpcFront { relay, open_calls: Arc::default() }
     }
 
-    /// Its routes.
+    /// Returns the routes, which serve POST requests at this path.
     pub fn routes(self, path: &str) -> Router {
-        Router::new().route(path, post(take)).with_state(self)
+        Router::new().route(path, post(handle_post)).with_state(self)
     }
 }
 
-/// Who sends a POST, by its headers.
+/// What the headers of a POST say about its sender.
 #[derive(Clone)]
 struct Caller {
     session: Option<String>,
     time_left: Option<Micros>,
 }
 
-fn caller(headers: &HeaderMap) -> Result<Caller, RpcError> {
-    let text = |name| headers.get(name).map(|value: &http::HeaderValue| value.to_str()).transpose();
-    let session = text(SESSION).map_err(|_| RpcError::Invalid("the session's name can't be read"))?;
-    let left = text(TIME_LEFT).map(|left| left.map(str::parse::<u64>).transpose());
+/// Reads the session and the time left from the headers.
+fn parse_caller(headers: &HeaderMap) -> Result<Caller, RpcError> {
+    let header_text = |name| headers.get(name).map(|value: &http::HeaderValue| value.to_str()).transpose();
+    let session =
+        header_text(SESSION_HEADER).map_err(|_| RpcError::Invalid("the session's name can't be read"))?;
+    let left = header_text(TIME_LEFT).map(|left| left.map(str::parse::<u64>).transpose());
     match left {
         Ok(Ok(left)) => Ok(Caller {
             session: session.map(str::to_string),
@@ -72,138 +74,155 @@
     }
 }
 
-fn fault(status: StatusCode, id: &Value, error: RpcError) -> Response {
+/// Answers a POST as a whole with an error.
+fn reject(status: StatusCode, id: &Value, error: RpcError) -> Response {
     let body = jsonrpc::response(id, &Err(error)).to_string();
     (status, [(CONTENT_TYPE, "application/json")], body).into_response()
 }
 
-async fn take(State(front): State<RpcFront>, request: Request) -> Response {
+/// Handles the messages of a POST. If any of them needs a response, the answer is a stream of events; otherwise it is
+/// 202 without a body.
+async fn handle_post(State(front): State<RpcFront>, request: Request) -> Response {
     let (head, body) = request.into_parts();
     let body = match read_body(head.extensions.get().copied(), body).await {
         Ok(body) => body,
-        Err(status) => return fault(status, &Value::Null, RpcError::Invalid("the body can't be read")),
+        Err(status) => return reject(status, &Value::Null, RpcError::Invalid("the body can't be read")),
     };
-    let caller = match caller(&head.headers) {
+    let caller = match parse_caller(&head.headers) {
         Ok(caller) => caller,
-        Err(error) => return fault(StatusCode::BAD_REQUEST, &Value::Null, error),
+        Err(error) => return reject(StatusCode::BAD_REQUEST, &Value::Null, error),
     };
     let messages = match jsonrpc::parse(&body) {
-        Ok(Post::One(Err((id, error)))) => return fault(StatusCode::BAD_REQUEST, &id, error),
+        Ok(Post::One(Err((id, error)))) => return reject(StatusCode::BAD_REQUEST, &id, error),
         Ok(Post::One(message)) => vec![message],
         Ok(Post::Many(messages)) => messages,
-        Err(error) => return fault(StatusCode::BAD_REQUEST, &Value::Null, error),
+        Err(error) => return reject(StatusCode::BAD_REQUEST, &Value::Null, error),
     };
-    let (told, events) = mpsc::channel(MESSAGES_AHEAD);
-    let mut answers = false;
+    let (to_client, receiver) = mpsc::channel(MESSAGE_QUEUE_CAPACITY);
+    let mut has_responses = false;
     for message in messages {
         match message {
-            Ok(Message::Request { id: None, method, params }) => front.note(&caller, &method, params),
+            Ok(Message::Request { id: None, method, params }) => {
+                front.handle_notification(&caller, &method, params)
+            }
             Ok(Message::Request { id: Some(id), method, params }) => {
-                answers = true;
-                front.call(&caller, id, &method, params, &told);
+                has_responses = true;
+                front.start_call(&caller, id, &method, params, &to_client);
             }
             Ok(Message::Response { id, .. }) => {
-                answers = true;
-                front.tell(&told, id, Err(RpcError::Invalid("no call with this id awaits a response")));
+                has_responses = true;
+                front.send_response(
+                    &to_client,
+                    id,
+                    Err(RpcError::Invalid("no call with this id awaits a response")),
+                );
             }
             Err((id, error)) => {
-                answers = true;
-                front.tell(&told, id, Err(error));
+                has_responses = true;
+                front.send_response(&to_client, id, Err(error));
             }
         }
     }
-    if !answers {
+    if !has_responses {
         return StatusCode::ACCEPTED.into_response();
     }
-    ([(CONTENT_TYPE, "text/event-stream")], axum::body::Body::new(Outgoing(events))).into_response()
+    ([(CONTENT_TYPE, "text/event-stream")], axum::body::Body::new(MessageStream(receiver))).into_response()
 }
 
 impl RpcFront {
-    fn tell(&self, told: &ClientSender, id: Value, result: Result<Value, RpcError>) {
-        let told = told.clone();
-        tokio::spawn(async move { told.send(jsonrpc::response(&id, &result)).await });
+    /// Sends a response to the client without waiting for space in its queue.
+    fn send_response(&self, to_client: &ClientSender, id: Value, result: Result<Value, RpcError>) {
+        let to_client = to_client.clone();
+        tokio::spawn(async move { to_client.send(jsonrpc::response(&id, &result)).await });
     }
 
-    fn opened(&self) -> std::sync::MutexGuard<'_, HashMap<OpenId, Arc<Notify>>> {
-        self.open.lock().unwrap_or_else(PoisonError::into_inner)
+    fn open_calls(&self) -> std::sync::MutexGuard<'_, HashMap<CallKey, Arc<Notify>>> {
+        self.open_calls.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A notification gets no answer, but what it asks for is done.
-    fn note(&self, caller: &Caller, method: &str, params: Value) {
+    /// Carries out a notification, which is never answered: cancels a call or runs a tool.
+    fn handle_notification(&self, caller: &Caller, method: &str, params: Value) {
         if method == jsonrpc::CANCELLED {
             let key = caller.session.clone().zip(jsonrpc::cancelled(&params).map(Value::to_string));
-            // An id that is not open may just have been answered.
-            if let Some(call) = key.and_then(|key| self.opened().get(&key).cloned()) {
+            // If no call with this id is open, it may just have been answered.
+            if let Some(call) = key.and_then(|key| self.open_calls().get(&key).cloned()) {
                 call.notify_one();
             }
         } else if let Ok(tool) = self.relay.tool(method, &params) {
             let (relay, call) = (self.relay.clone(), caller.call(Value::Null, params));
-            let (told, mut events) = mpsc::channel(MESSAGES_AHEAD);
-            tokio::spawn(async move { while events.recv().await.is_some() {} });
-            tokio::spawn(async move { relay.run(call, tool, &told).await });
+            let (to_client, mut receiver) = mpsc::channel(MESSAGE_QUEUE_CAPACITY);
+            tokio::spawn(async move { while receiver.recv().await.is_some() {} });
+            tokio::spawn(async move { relay.run(call, tool, &to_client).await });
         }
     }
 
-    /// Runs a call, and tells the client its one final answer.
-    fn call(&self, caller: &Caller, id: Value, method: &str, params: Value, told: &ClientSender) {
+    /// Starts a call, whose one final answer is sent to the client.
+    fn start_call(&self, caller: &Caller, id: Value, method: &str, params: Value, to_client: &ClientSender) {
         let tool = match self.relay.tool(method, &params) {
             Ok(tool) => tool,
-            Err(error) => return self.tell(told, id, Err(error)),
+            Err(error) => return self.send_response(to_client, id, Err(error)),
         };
         let cancel = Arc::new(Notify::new());
         let key = caller.session.clone().map(|session| (session, id.to_string()));
         if let Some(key) = &key {
-            let mut open = self.opened();
-            if open.contains_key(key) {
-                drop(open);
-                return self.tell(told, id, Err(RpcError::Invalid("a call with this id is open")));
+            let mut open_calls = self.open_calls();
+            if open_calls.contains_key(key) {
+                drop(open_calls);
+                return self.send_response(
+                    to_client,
+                    id,
+                    Err(RpcError::Invalid("a call with this id is open")),
+                );
             }
-            open.insert(key.clone(), cancel.clone());
+            open_calls.insert(key.clone(), cancel.clone());
         }
-        let entry = Entry { front: self.clone(), key };
+        let open_call = OpenCall { front: self.clone(), key };
         let call = caller.call(id.clone(), params);
-        tokio::spawn(entry.drive(call, tool, cancel, told.clone()));
+        tokio::spawn(open_call.execute(call, tool, cancel, to_client.clone()));
     }
 }
 
 impl Caller {
+    /// Returns a call by this caller.
     fn call(&self, id: Value, params: Value) -> Call {
         let session = self.session.as_deref().map(|key| SessionKey(digest(key)));
         Call { id, params, session, time_left: self.time_left }
     }
 }
 
-/// An open call's entry, which ends with it.
-struct Entry {
+/// Keeps a call registered while it is open. Dropping it removes the call.
+struct OpenCall {
     front: RpcFront,
-    key: Option<OpenId>,
+    key: Option<CallKey>,
 }
 
-impl Entry {
-    async fn drive(self, call: Call, tool: Tool, cancel: Arc<Notify>, told: ClientSender) {
+impl OpenCall {
+    /// Runs the call until it is answered or cancelled, and sends the response; stops if the client has left.
+    async fn execute(self, call: Call, tool: Tool, cancel: Arc<Notify>, to_client: ClientSender) {
         let id = call.id.clone();
         let result = tokio::select! {
-            result = self.front.relay.run(call, tool, &told) => result,
+            result = self.front.relay.run(call, tool, &to_client) => result,
             () = cancel.notified() => Err(RpcError::Cancelled),
-            () = told.closed() => return,
+            () = to_client.closed() => return,
         };
         drop(self);
-        let _ = told.send(jsonrpc::response(&id, &result)).await;
+        let _ = to_client.send(jsonrpc::response(&id, &result)).await;
     }
 }
 
-impl Drop for Entry {
+impl Drop for OpenCall {
     fn drop(&mut self) {
         if let Some(key) = &self.key {
-            self.front.opened().remove(key);
+            self.front.open_calls().remove(key);
         }
     }
 }
 
-/// Messages on their way to a client; they end with the last call that tells any.
-struct Outgoing(mpsc::Receiver<Value>);
+/// The body of an answer: the messages to a client, as server-sent events. It ends when the last call that can send any
+/// has ended.
+struct MessageStream(mpsc::Receiver<Value>);
 
-impl http_body::Body for Outgoing {
+impl http_body::Body for MessageStream {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -211,7 +230,7 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        let event = |message: Value| Ok(Frame::data(Bytes::from(jsonrpc::event(&message))));
-        self.0.poll_recv(cx).map(|message| message.map(event))
+        let encode = |message: Value| Ok(Frame::data(Bytes::from(jsonrpc::event(&message))));
+        self.0.poll_recv(cx).map(|message| message.map(encode))
     }
 }
