--- a/src/program/life.rs
+++ b/src/program/life.rs
@@ -230,7 +230,7 @@
     /// Serves until SIGTERM, then finishes; gives the counters at the end.
     pub async fn run(mut self) -> Result<Counters, ProgramError> {
         let mut serving = JoinSet::new();
-        tokio::spawn(self.connections.clone().keep_time());
+        tokio::spawn(self.connections.clone().run_timers());
         if let Some(admin) = self.admin {
             let operators = Operators { connections: self.connections.clone(), hub: self.hub.clone() };
             tokio::spawn(admin.serve(operators::routes(operators)));
--- a/src/transport/front/connection.rs
+++ b/src/transport/front/connection.rs
@@ -277,7 +277,7 @@
     }
 
     /// Feeds the drain with a tick whenever it has something due. Never returns.
-    pub async fn keep_time(self) {
+    pub async fn run_timers(self) {
         loop {
             let due = self.drain.with(|drain, now, outputs| {
                 drain.handle(now, Input::Tick, outputs);
