--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -1,4 +1,5 @@
-//! Stories of clients that go: whatever they leave behind, nothing is begun for them any more.
+//! Tests of clients that disconnect or cancel: no further work may be started for them, whatever bytes they have sent
+//! before that. Also tests that idle clients don't use up the descriptors that discovery needs.
 
 mod peers;
 
@@ -26,18 +27,18 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep;
 
-/// How a client goes.
+/// How a client leaves.
 #[derive(Clone, Copy, Debug)]
-enum Going {
-    Closes,
-    Resets,
-    /// It may still read, but nobody can tell that from a close.
-    ShutsItsSide,
+enum Departure {
+    Close,
+    Reset,
+    /// It shuts down its write side and may still read, which the server can't tell from a close.
+    HalfClose,
 }
 
-const GOINGS: [Going; 3] = [Going::Closes, Going::Resets, Going::ShutsItsSide];
+const DEPARTURES: [Departure; 3] = [Departure::Close, Departure::Reset, Departure::HalfClose];
 
-/// A client of the platform's front that leaves unread bytes behind.
+/// A client of the platform's front that may leave unread bytes at the server.
 struct Client(TcpStream);
 
 impl Client {
@@ -47,15 +48,15 @@
         Client(stream)
     }
 
-    /// Goes; what is left of it has to be kept for as long as it may still read.
-    async fn go(mut self, going: Going) -> Option<Self> {
-        match going {
-            Going::Closes => drop(self),
-            Going::Resets => {
+    /// Leaves in this way. Returns a half-closed client, which has to be kept for as long as it is to be able to read.
+    async fn leave(mut self, departure: Departure) -> Option<Self> {
+        match departure {
+            Departure::Close => drop(self),
+            Departure::Reset => {
                 SockRef::from(&self.0).set_linger(Some(Duration::ZERO)).expect("an option");
                 drop(self);
             }
-            Going::ShutsItsSide => {
+            Departure::HalfClose => {
                 self.0.shutdown().await.expect("it is open");
                 return Some(self);
             }
@@ -64,11 +65,12 @@
     }
 }
 
-/// Waits for what the system has of a client's connection to a port: its state, and how many bytes stand unread.
-async fn until_system(
+/// Waits until the server side of a client's connection is as expected, by the system's table of connections. The
+/// expectation is given its state and its number of unread bytes, or `None` if the connection is not in the table.
+async fn wait_for_socket(
     front: &str,
     client: std::net::SocketAddr,
-    holds: impl Fn(Option<(&str, usize)>) -> bool,
+    is_expected: impl Fn(Option<(&str, usize)>) -> bool,
 ) {
     let port = |text: &str| u16::from_str_radix(text.rsplit(':').next()?, 16).ok();
     let front: std::net::SocketAddr = front.parse().expect("an address");
@@ -79,85 +81,91 @@
             lines.filter(|line| port(line[1]) == Some(front.port()) && port(line[2]) == Some(client.port()));
         let unread = |text: &str| usize::from_str_radix(text.rsplit(':').next()?, 16).ok();
         let line = ours.next();
-        if holds(line.as_ref().map(|line| (line[3], unread(line[4]).expect("a number")))) {
+        if is_expected(line.as_ref().map(|line| (line[3], unread(line[4]).expect("a number")))) {
             return;
         }
         tokio::task::yield_now().await;
     }
 }
 
-/// A request, and what its client has sent behind it: nothing, a part of a further one, a whole one, or more than
-/// anybody reads ahead.
+/// Returns requests with what the client pipelines behind them: nothing, a part of a further request, a complete one, and
+/// more than the server reads in advance.
 fn requests(id: &str) -> [String; 4] {
-    let asks = platform_request(id, "book", 15_000, "{}");
-    let behind = platform_request(&format!("{id}-behind"), "book", 15_000, "{}");
+    let request = platform_request(id, "book", 15_000, "{}");
+    let pipelined = platform_request(&format!("{id}-behind"), "book", 15_000, "{}");
     [
-        asks.clone(),
-        format!("{asks}POST /v1/chat/comp"),
-        format!("{asks}{behind}"),
-        format!("{asks}{}", behind.repeat(60)),
+        request.clone(),
+        format!("{request}POST /v1/chat/comp"),
+        format!("{request}{pipelined}"),
+        format!("{request}{}", pipelined.repeat(60)),
     ]
 }
 
-/// A conductor before these servers, with what else its configuration is to be.
-async fn conductor(servers: &[Value], change: impl FnOnce(&mut Value)) -> Conductor {
+/// Starts a conductor for these servers, with changes to its configuration.
+async fn start_conductor(servers: &[Value], change: impl FnOnce(&mut Value)) -> Conductor {
     let mut config = config(&telling_once(servers).await, servers);
     config["admin"] = json!("127.0.0.1:0");
     change(&mut config);
     Conductor::start_with(config, "").await
 }
 
-/// Failure: an attempt goes on, or a further one begins, for a client that has gone while bytes behind its request
-/// hide its end.
+/// Guards against an attempt that continues, or a further one that is started, for a client that has left. Bytes that
+/// are pipelined behind the request hide the end of the connection.
 #[test]
-fn whoever_goes_during_an_attempt_ends_it_whatever_stands_behind_the_request() {
+fn client_departure_cancels_the_attempt_despite_pipelined_bytes() {
     story(async {
-        let (mut reader, mut other) = (Peer::start().await, Peer::start().await);
-        let servers = [member("s-r", &reader.address, "reader"), member("s-o", &other.address, "reader")];
-        let conductor = conductor(&servers, |_| {}).await;
-        for (n, going) in GOINGS.into_iter().enumerate() {
+        let (mut reader, mut other_reader) = (Peer::start().await, Peer::start().await);
+        let servers =
+            [member("s-r", &reader.address, "reader"), member("s-o", &other_reader.address, "reader")];
+        let conductor = start_conductor(&servers, |_| {}).await;
+        for (n, departure) in DEPARTURES.into_iter().enumerate() {
             for (m, request) in requests(&format!("g{n}")).into_iter().enumerate() {
                 let request = request.replace(&format!("g{n}"), &format!("g{n}-{m}"));
                 let client = Client::send(&conductor, &request).await;
                 let mut seen = tokio::select! {
                     seen = reader.next() => seen,
-                    seen = other.next() => seen,
+                    seen = other_reader.next() => seen,
                 };
-                let went = Stopwatch::start();
-                let _left = client.go(going).await;
-                assert_eq!(seen.wire.rest().await, "", "the attempt is closed: {going:?}, {m}");
-                assert!(went.elapsed() < Duration::from_secs(1), "{:?}: {going:?}, {m}", went.elapsed());
+                let departed = Stopwatch::start();
+                let _half_closed = client.leave(departure).await;
+                assert_eq!(seen.wire.rest().await, "", "the attempt is closed: {departure:?}, {m}");
+                assert!(
+                    departed.elapsed() < Duration::from_secs(1),
+                    "{:?}: {departure:?}, {m}",
+                    departed.elapsed()
+                );
                 let release = format!("DELETE /kv/leases/g{n}-{m} ");
-                // What a read may have left is let go of twice.
+                // A state that a read may have left is released twice.
                 while !tokio::select! {
                     head = reader.next_release() => head,
-                    head = other.next_release() => head,
+                    head = other_reader.next_release() => head,
                 }
                 .starts_with(&release)
                 {}
             }
         }
-        // Whatever had been begun for them would have come before this one.
+        // Any request started for the clients above would arrive before this one.
         let _marker = conductor.ask("marker", "ask", 4000).await;
         let seen = tokio::select! {
             seen = reader.next() => seen,
-            seen = other.next() => seen,
+            seen = other_reader.next() => seen,
         };
         assert!(seen.head.contains("marker"), "{}", seen.head);
-        assert_eq!(reader.unseen() + other.unseen(), 0);
+        assert_eq!(reader.unseen() + other_reader.unseen(), 0);
     });
 }
 
-/// Failure: a request is begun whose client had gone before its connection was taken, or amid its body.
+/// Guards against starting a request whose client left before its connection was accepted, or while it was sending the
+/// body.
 #[test]
-fn whoever_has_gone_before_its_connection_is_taken_or_amid_its_body_has_asked_nothing() {
+fn request_is_not_started_if_its_client_left_before_accept_or_during_the_body() {
     story(async {
         let (mut reader, mut writer) = (Peer::start().await, Peer::start().await);
         let servers = [member("s-r", &reader.address, "reader"), member("s-w", &writer.address, "writer")];
-        let conductor = conductor(&servers, |config| config["limits"]["sockets"] = json!(64)).await;
-        for (round, going) in GOINGS.into_iter().enumerate() {
-            // All places for clients are taken by answers that go on: a request without one would be sent anew on a
-            // slow machine.
+        let conductor = start_conductor(&servers, |config| config["limits"]["sockets"] = json!(64)).await;
+        for (round, departure) in DEPARTURES.into_iter().enumerate() {
+            // Answers that are being streamed take all of the clients' connections. A request without an answer yet would
+            // be sent again on a slow machine.
             let mut open = Vec::new();
             for n in 0..12 {
                 let mut client = conductor.ask(&format!("open-{round}-{n}"), "book", 15_000).await;
@@ -170,62 +178,69 @@
                 client.until("data: 1\n\n").await.expect("an event");
                 open.push((client, seen));
             }
-            let mut left = Vec::new();
+            let mut half_closed = Vec::new();
             for (n, request) in requests("early").into_iter().enumerate() {
                 let request = request.replace("early", &format!("early-{round}-{n}"));
                 let client = Client::send(&conductor, &request).await;
                 let address = client.0.local_addr().expect("an address");
                 let whole = Some(("01", request.len()));
-                until_system(&conductor.front, address, |found| found == whole).await;
-                left.push(client.go(going).await);
-                until_system(&conductor.front, address, |found| found.is_none_or(|(state, _)| state != "01"))
-                    .await;
+                wait_for_socket(&conductor.front, address, |socket| socket == whole).await;
+                half_closed.push(client.leave(departure).await);
+                wait_for_socket(&conductor.front, address, |socket| {
+                    socket.is_none_or(|(state, _)| state != "01")
+                })
+                .await;
             }
             let half = platform_request(&format!("half-{round}"), "book", 15_000, "half a body")
                 .replace("a body", "");
-            left.push(Client::send(&conductor, &half).await.go(going).await);
+            half_closed.push(Client::send(&conductor, &half).await.leave(departure).await);
             for (client, mut seen) in open {
                 drop(client);
                 assert_eq!(seen.wire.rest().await, "", "it is closed");
             }
             let marker = conductor.ask(&format!("marker-{round}"), "book", 15_000).await;
             let mut seen = reader.next().await;
-            assert!(seen.head.contains("marker"), "{going:?}: {}", seen.head);
-            drop((marker, left));
+            assert!(seen.head.contains("marker"), "{departure:?}: {}", seen.head);
+            drop((marker, half_closed));
             assert_eq!(seen.wire.rest().await, "", "it is closed");
             while figure(&conductor.admin, "in_progress").await > 0 {}
-            assert_eq!(reader.unseen() + writer.unseen(), 0, "{going:?}");
+            assert_eq!(reader.unseen() + writer.unseen(), 0, "{departure:?}");
         }
     });
 }
 
-/// Failure: a request whose client has gone waits on for a connection to its server, and is sent once that comes up.
+/// Guards against a request that still waits for the connection to its server after its client has left, and is sent
+/// once that connection is established.
 #[test]
-fn whoever_goes_while_the_servers_connection_does_not_come_up_is_not_sent_on() {
+fn request_is_not_sent_if_its_client_left_during_the_connect_to_its_server() {
     story(async {
-        // A queue of one connection, which is full: the system answers no other.
+        // The accept queue holds one connection and is full, so the system doesn't answer further connects.
         let socket = Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-        let any: std::net::SocketAddr = "127.0.0.1:0".parse().expect("an address");
-        socket.bind(&any.into()).expect("a port");
+        let any_port: std::net::SocketAddr = "127.0.0.1:0".parse().expect("an address");
+        socket.bind(&any_port.into()).expect("a port");
         socket.listen(0).expect("it listens");
         let address = socket.local_addr().expect("an address").as_socket().expect("an address").to_string();
-        let _full = TcpStream::connect(&address).await.expect("a connection");
+        let _queued = TcpStream::connect(&address).await.expect("a connection");
         let servers = [member("s-r", &address, "reader")];
-        let conductor = conductor(&servers, |config| {
+        let conductor = start_conductor(&servers, |config| {
             config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(15_000.0);
             config["settings"]["Limits"]["Probes"] = json!(false);
             config["settings"]["Report"]["Source"] = json!("none");
         })
         .await;
-        for (round, going) in GOINGS.into_iter().enumerate() {
+        for (round, departure) in DEPARTURES.into_iter().enumerate() {
             for (n, request) in requests("hangs").into_iter().enumerate() {
                 let request = request.replace("hangs", &format!("hangs-{round}-{n}"));
                 let client = Client::send(&conductor, &request).await;
                 while figure(&conductor.admin, "in_progress").await == 0 {}
-                let went = Stopwatch::start();
-                let _left = client.go(going).await;
+                let departed = Stopwatch::start();
+                let _half_closed = client.leave(departure).await;
                 while figure(&conductor.admin, "in_progress").await > 0 {}
-                assert!(went.elapsed() < Duration::from_secs(1), "{:?}: {going:?}", went.elapsed());
+                assert!(
+                    departed.elapsed() < Duration::from_secs(1),
+                    "{:?}: {departure:?}",
+                    departed.elapsed()
+                );
             }
         }
         socket.set_nonblocking(true).expect("an option");
@@ -234,8 +249,8 @@
         loop {
             let (stream, _) = listener.accept().await.expect("a connection");
             let mut wire = Wire::of(stream);
-            let heard = tokio::time::timeout(Duration::from_millis(300), wire.until("\r\n\r\n")).await;
-            if let Ok(Some(head)) = heard {
+            let received = tokio::time::timeout(Duration::from_millis(300), wire.until("\r\n\r\n")).await;
+            if let Ok(Some(head)) = received {
                 if head.contains("marker") {
                     break;
                 }
@@ -245,12 +260,12 @@
     });
 }
 
-/// Failure: a request is begun, or sent to a second server, for a client of which the module has not been told yet
-/// that it has gone, as that message stands behind many others.
+/// Guards against starting a request, or sending it to a second server, for a client that has left while the message that
+/// reports this to the hub is still queued behind many others.
 #[test]
-fn for_whoever_has_gone_nothing_is_begun_before_the_message_that_says_so() {
+fn nothing_is_sent_for_a_departed_client_before_the_hub_is_notified() {
     story(async {
-        let (mut reader, mut other) = (Peer::start().await, Peer::start().await);
+        let (mut reader, mut other_reader) = (Peer::start().await, Peer::start().await);
         let config = Config::parse(&config("", &[]).to_string()).expect("a configuration");
         let (settings, links) = (config.settings.settings().expect("settings"), config.settings.links());
         let (links, clock) = (links.expect("settings"), Clock::start());
@@ -261,19 +276,19 @@
         let (mut actor, hub) = hub::new(core, clock, budget);
         let names = config.settings.clone().names();
         let fields = names.report.clone().into();
-        let common =
+        let context =
             PeerContext { pool, hub: hub.clone(), clients, links, dialect: Dialect::Platform, fields };
-        actor.add_pool(common, names.classes);
+        actor.add_pool(context, names.classes);
         tokio::spawn(actor.run());
         let member = |id: u32, address: &str| Member {
             entry: ServerEntry { id: ServerId(id), ..ServerEntry::plain() },
             name: id.to_string().into(),
             address: address.into(),
         };
-        let members = vec![member(1, &reader.address), member(2, &other.address)];
+        let members = vec![member(1, &reader.address), member(2, &other_reader.address)];
         let list = Generation { number: 1, cause: Cause::Discovery, members, files: Default::default() };
         hub.send(Message::List(pool, Arc::new(list))).await;
-        // As a handler hands requests in, but the message that their clients have gone never comes.
+        // Submits requests as a handler does, but the message that their clients have left is never sent.
         let request = |number: u8, id: &str| {
             let (reply, answer) = oneshot::channel();
             let head = platform_request(id, "ask", 4000, "{}");
@@ -298,7 +313,7 @@
         hub.send(message).await;
         let mut seen = tokio::select! {
             seen = reader.next() => seen,
-            seen = other.next() => seen,
+            seen = other_reader.next() => seen,
         };
         assert!(seen.head.contains("between"), "{}", seen.head);
         drop(answer);
@@ -308,45 +323,46 @@
         hub.send(message).await;
         let seen = tokio::select! {
             seen = reader.next() => seen,
-            seen = other.next() => seen,
+            seen = other_reader.next() => seen,
         };
         assert!(seen.head.contains("marker"), "{}", seen.head);
-        assert_eq!(reader.unseen() + other.unseen(), 0);
+        assert_eq!(reader.unseen() + other_reader.unseen(), 0);
         let totals = hub.counters().await.totals;
         assert_eq!((totals.taken, totals.gone, totals.open), (2, 1, 1), "{totals:?}");
     });
 }
 
-/// Follows how many descriptors a process holds, for as long as the process runs.
-fn most_descriptors(child: &Child) -> Arc<AtomicUsize> {
-    let folder = format!("/proc/{}/fd", child.id().expect("it runs"));
-    let most = Arc::new(AtomicUsize::new(0));
-    let seen = most.clone();
-    // A thread of its own, so that it sees the process amid its turns.
+/// Tracks the largest number of descriptors that a process holds, for as long as the process runs.
+fn track_max_descriptors(child: &Child) -> Arc<AtomicUsize> {
+    let directory = format!("/proc/{}/fd", child.id().expect("it runs"));
+    let max_descriptors = Arc::new(AtomicUsize::new(0));
+    let tracked = max_descriptors.clone();
+    // A thread of its own, so that it samples the process at any time, also while that handles events.
     std::thread::spawn(move || {
-        while let Ok(open) = std::fs::read_dir(&folder) {
-            seen.fetch_max(open.filter(Result::is_ok).count(), Ordering::Relaxed);
+        while let Ok(open) = std::fs::read_dir(&directory) {
+            tracked.fetch_max(open.filter(Result::is_ok).count(), Ordering::Relaxed);
             std::thread::sleep(Duration::from_micros(100));
         }
     });
-    most
+    max_descriptors
 }
 
-/// Failure: clients that connect and rest, and callers of the operators' address, take the descriptors that discovery
-/// needs; its return is heard late or never, or newcomers are not served.
+/// Guards against idle clients and callers of the operators' address that take the descriptors that discovery needs: its
+/// return would be noticed late or never, or new clients would not be served.
 #[test]
-fn with_all_places_taken_by_resting_clients_the_return_of_discovery_is_heard() {
-    story(discovery_returns_to_a_full_house(64, "exec \"$0\""));
+fn discovery_is_heard_again_while_idle_clients_hold_all_client_connections() {
+    story(discovery_returns_while_connections_are_exhausted(64, "exec \"$0\""));
 }
 
-/// Failure: the configuration allows more descriptors than the system, and clients take all that there are.
+/// Guards against clients that take all descriptors where the configuration allows more of them than the system does.
 #[test]
-fn where_the_system_allows_fewer_descriptors_that_is_what_is_split() {
-    story(discovery_returns_to_a_full_house(1024, "ulimit -n 64 && exec \"$0\""));
+fn descriptor_budget_is_split_from_the_system_limit_if_that_is_lower() {
+    story(discovery_returns_while_connections_are_exhausted(1024, "ulimit -n 64 && exec \"$0\""));
 }
 
-/// Clients and callers fill a program with 64 descriptors while discovery is silent; then that returns.
-async fn discovery_returns_to_a_full_house(sockets: usize, start: &str) {
+/// Clients and operators' callers use up the connections of a program with 64 descriptors while discovery is silent. Then
+/// discovery returns.
+async fn discovery_returns_while_connections_are_exhausted(sockets: usize, start: &str) {
     let (mut old, mut new, mut writer) = (Peer::start().await, Peer::start().await, Peer::start().await);
     let mut discovery = Peer::start().await;
     let (front, admin, folder) = (nowhere(), nowhere(), Folder::new(&format!("idle-{sockets}")));
@@ -360,8 +376,8 @@
         .kill_on_drop(true)
         .spawn()
         .expect("it starts");
-    let most = most_descriptors(&child);
-    // It is silent to whoever calls.
+    let max_descriptors = track_max_descriptors(&child);
+    // Discovery doesn't answer its calls.
     let mut silent = vec![discovery.next().await];
     let up = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
     loop {
@@ -371,105 +387,111 @@
             break;
         }
     }
-    let (mut resting, mut callers) = (Vec::new(), Vec::new());
+    let (mut idle_clients, mut callers) = (Vec::new(), Vec::new());
     for n in 0..80 {
         let mut wire = Wire::connect(&front.address).await;
         if n % 2 == 0 {
             wire.write(up).await;
             wire.until("\r\n\r\n").await.expect("an answer");
         }
-        resting.push(wire);
+        idle_clients.push(wire);
         callers.push(Wire::connect(&admin.address).await);
     }
-    // More at once than are ever taken.
-    let all = (0..200).map(|_| TcpStream::connect(&admin.address));
-    callers.extend(futures_util::future::join_all(all).await.into_iter().map(|s| Wire::of(s.expect("room"))));
-    let mut asks = Wire::connect(&front.address).await;
-    asks.write(&platform_request("c1", "ask", 4000, "{}")).await;
+    // More at once than are ever accepted.
+    let connects = (0..200).map(|_| TcpStream::connect(&admin.address));
+    callers.extend(
+        futures_util::future::join_all(connects)
+            .await
+            .into_iter()
+            .map(|s| Wire::of(s.expect("a connection"))),
+    );
+    let mut client = Wire::connect(&front.address).await;
+    client.write(&platform_request("c1", "ask", 4000, "{}")).await;
     old.next().await.answer("202 Accepted", "", "{}").await;
     let mut seen = writer.next().await;
     seen.begin().await;
     seen.chunk("data: [DONE]\n\n").await;
     seen.end().await;
     seen.go_on();
-    assert!(asks.rest_of_answer().await.starts_with("HTTP/1.1 200"));
-    // Discovery returns, with another server in the place of the first one.
-    let returned = Stopwatch::start();
-    let mut gone = member("s-old", &old.address, "reader");
-    gone["phase"] = json!("terminating");
-    let servers = [gone, member("s-new", &new.address, "reader"), servers[1].clone()];
-    let whole = list(9, true, &servers).to_string();
-    let mut call = discovery.next().await;
-    call.answer("200 OK", "", &whole).await;
-    let (head, _) = call.wire.message().await.expect("the watch goes on");
+    assert!(client.rest_of_answer().await.starts_with("HTTP/1.1 200"));
+    // Discovery returns, and lists another server instead of the first one.
+    let since_return = Stopwatch::start();
+    let mut draining = member("s-old", &old.address, "reader");
+    draining["phase"] = json!("terminating");
+    let servers = [draining, member("s-new", &new.address, "reader"), servers[1].clone()];
+    let full_list = list(9, true, &servers).to_string();
+    let mut watch = discovery.next().await;
+    watch.answer("200 OK", "", &full_list).await;
+    let (head, _) = watch.wire.message().await.expect("the watch continues");
     assert!(head.contains("from=9"), "{head}");
-    assert!(returned.elapsed() < Duration::from_secs(6), "{:?}", returned.elapsed());
-    let mut asks = Wire::connect(&front.address).await;
-    asks.write(&platform_request("c2", "ask", 4000, "{}")).await;
+    assert!(since_return.elapsed() < Duration::from_secs(6), "{:?}", since_return.elapsed());
+    let mut client = Wire::connect(&front.address).await;
+    client.write(&platform_request("c2", "ask", 4000, "{}")).await;
     assert!(new.next().await.head.contains("c2"));
-    assert_eq!(old.unseen(), 0, "it drains");
+    assert_eq!(old.unseen(), 0, "the server is draining");
     let mut wire = Wire::connect(&admin.address).await;
     wire.write("GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n").await;
     assert!(wire.rest().await.starts_with("HTTP/1.1 200"));
-    let most = most.load(Ordering::Relaxed);
-    println!("{most} descriptors at most");
-    assert!(most <= 64, "{most} descriptors");
-    drop((resting, callers, silent.pop()));
+    let max_descriptors = max_descriptors.load(Ordering::Relaxed);
+    println!("{max_descriptors} descriptors at most");
+    assert!(max_descriptors <= 64, "{max_descriptors} descriptors");
+    drop((idle_clients, callers, silent.pop()));
 }
 
-/// What a request is owed once its client has gone: no attempt begins later than this (the operators' term).
-const GONE_WITHIN: Duration = Duration::from_millis(100);
+/// No attempt may be started later than this after the client has left (the operators' requirement).
+const CANCEL_WITHIN: Duration = Duration::from_millis(100);
 
-/// A server that leaves probes unanswered; tells of each, and of each request by its head.
-async fn without_reports() -> (String, mpsc::UnboundedReceiver<String>) {
+/// Starts a server that answers nothing, not even probes. Returns its address and a channel of the heads that arrive.
+async fn server_without_reports() -> (String, mpsc::UnboundedReceiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
-    let (tell, told) = mpsc::unbounded_channel();
+    let (sender, heads) = mpsc::unbounded_channel();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let tell = tell.clone();
+            let sender = sender.clone();
             tokio::spawn(async move {
                 let mut wire = Wire::of(stream);
                 if let Some((head, _)) = wire.message().await {
-                    let _ = tell.send(head);
+                    let _ = sender.send(head);
                 }
                 let _ = wire.rest().await;
             });
         }
     });
-    (address, told)
+    (address, heads)
 }
 
-/// Failure: a request that waits for the report of a probe is sent although its client has gone meanwhile.
+/// Guards against sending a request that waited for a probe's report after its client has left.
 #[test]
-fn whoever_goes_while_a_probe_is_out_is_not_sent_on() {
+fn request_is_not_sent_if_its_client_left_while_a_probe_is_pending() {
     story(async {
-        let ((first, mut at_first), (second, mut at_second)) =
-            (without_reports().await, without_reports().await);
+        let ((first, mut first_heads), (second, mut second_heads)) =
+            (server_without_reports().await, server_without_reports().await);
         let servers = [member("s-1", &first, "reader"), member("s-2", &second, "reader")];
-        let conductor = conductor(&servers, |_| {}).await;
-        for (n, going) in GOINGS.into_iter().enumerate() {
-            let asks = platform_request(&format!("c{n}"), "ask", 4000, "{}");
-            let client = Client::send(&conductor, &asks).await;
+        let conductor = start_conductor(&servers, |_| {}).await;
+        for (n, departure) in DEPARTURES.into_iter().enumerate() {
+            let request = platform_request(&format!("c{n}"), "ask", 4000, "{}");
+            let client = Client::send(&conductor, &request).await;
             let probe = tokio::select! {
-                head = at_first.recv() => head,
-                head = at_second.recv() => head,
+                head = first_heads.recv() => head,
+                head = second_heads.recv() => head,
             };
-            assert!(probe.expect("it runs").starts_with("GET "), "a probe comes first");
-            let _left = client.go(going).await;
-            // The report is waited for up to 75 ms.
-            sleep(GONE_WITHIN).await;
-            let came = std::iter::from_fn(|| at_first.try_recv().or_else(|_| at_second.try_recv()).ok());
-            let posts: Vec<String> = came.filter(|head| head.starts_with("POST ")).collect();
-            assert_eq!(posts, Vec::<String>::new(), "{going:?}");
-            assert_eq!(figure(&conductor.admin, "in_progress").await, 0, "{going:?}");
+            assert!(probe.expect("it runs").starts_with("GET "), "a probe is sent first");
+            let _half_closed = client.leave(departure).await;
+            // A request waits up to 75 ms for the report.
+            sleep(CANCEL_WITHIN).await;
+            let arrived =
+                std::iter::from_fn(|| first_heads.try_recv().or_else(|_| second_heads.try_recv()).ok());
+            let posts: Vec<String> = arrived.filter(|head| head.starts_with("POST ")).collect();
+            assert_eq!(posts, Vec::<String>::new(), "{departure:?}");
+            assert_eq!(figure(&conductor.admin, "in_progress").await, 0, "{departure:?}");
         }
-        // Whoever stays is sent on.
+        // A request whose client stays is sent.
         let _stays = conductor.ask("stays", "ask", 4000).await;
         loop {
             let head = tokio::select! {
-                head = at_first.recv() => head,
-                head = at_second.recv() => head,
+                head = first_heads.recv() => head,
+                head = second_heads.recv() => head,
             };
             if head.expect("it runs").starts_with("POST ") {
                 break;
@@ -478,9 +500,9 @@
     });
 }
 
-/// Failure: a request that waits for a server to be there is begun although its client has gone meanwhile.
+/// Guards against starting a request that waited for a server to be listed after its client has left.
 #[test]
-fn whoever_goes_while_no_server_is_there_is_not_begun_once_one_comes() {
+fn request_is_not_started_by_a_new_server_if_its_client_left_before() {
     story(async {
         let (mut reader, writer) = (Peer::start().await, Peer::start().await);
         let writer = member("s-w", &writer.address, "writer");
@@ -489,14 +511,14 @@
         let mut config = config(&discovery.address, std::slice::from_ref(&writer));
         config["admin"] = json!("127.0.0.1:0");
         let conductor = Conductor::start_with(config, "").await;
-        let mut left = Vec::new();
-        for (n, going) in GOINGS.into_iter().enumerate() {
-            let asks = platform_request(&format!("c{n}"), "ask", 4000, "{}");
-            let client = Client::send(&conductor, &asks).await;
+        let mut half_closed = Vec::new();
+        for (n, departure) in DEPARTURES.into_iter().enumerate() {
+            let request = platform_request(&format!("c{n}"), "ask", 4000, "{}");
+            let client = Client::send(&conductor, &request).await;
             while figure(&conductor.admin, "in_progress").await == 0 {}
-            left.push(client.go(going).await);
+            half_closed.push(client.leave(departure).await);
         }
-        sleep(GONE_WITHIN).await;
+        sleep(CANCEL_WITHIN).await;
         assert_eq!(figure(&conductor.admin, "in_progress").await, 0);
         let _stays = conductor.ask("stays", "ask", 4000).await;
         while figure(&conductor.admin, "in_progress").await == 0 {}
@@ -504,14 +526,15 @@
         discovery.next_with("?from=2&").await;
         let seen = reader.next().await;
         assert!(seen.head.contains("stays"), "{}", seen.head);
-        sleep(GONE_WITHIN).await;
+        sleep(CANCEL_WITHIN).await;
         assert_eq!(reader.unseen(), 0);
     });
 }
 
-/// Failure: work goes on at tool servers, or a further attempt begins, for a caller that has closed or cancelled.
+/// Guards against work that continues at tool servers, or a further attempt that is started, for a caller that has closed
+/// its connection or cancelled the call.
 #[test]
-fn a_caller_that_closes_or_cancels_has_gone_for_the_tool_servers_too() {
+fn closing_or_cancelling_a_call_stops_the_work_at_tool_servers() {
     story(async {
         let (mut a, mut b) = (Peer::start().await, Peer::start().await);
         let servers = [member("t-a", &a.address, "tool"), member("t-b", &b.address, "tool")];
@@ -523,19 +546,23 @@
                     seen = a.next() => seen,
                     seen = b.next() => seen,
                 };
-                let went = Stopwatch::start();
+                let departed = Stopwatch::start();
                 if cancels {
                     let cancel = json!({"jsonrpc": "2.0", "method": "notifications/cancelled", "params": {"requestId": "mine"}});
                     let mut wire = conductor.post("X-Session-Key: s1\r\n", &cancel.to_string()).await;
                     assert!(wire.until("\r\n\r\n").await.is_some_and(|head| head.contains(" 202 ")));
-                    let answer = client.event().await.expect("its one answer");
+                    let answer = client.event().await.expect("the call's only answer");
                     assert!(answer["error"].is_object(), "{answer}");
                 } else {
                     drop(client);
                 }
                 assert_eq!(seen.wire.rest().await, "", "the attempt is closed");
-                assert!(went.elapsed() < GONE_WITHIN, "{:?}: {tool}, cancels: {cancels}", went.elapsed());
-                sleep(GONE_WITHIN).await;
+                assert!(
+                    departed.elapsed() < CANCEL_WITHIN,
+                    "{:?}: {tool}, cancels: {cancels}",
+                    departed.elapsed()
+                );
+                sleep(CANCEL_WITHIN).await;
                 assert_eq!(a.unseen() + b.unseen(), 0, "{tool}, cancels: {cancels}");
             }
         }
