--- a/src/transport/front/connection.rs
+++ b/src/transport/front/connection.rs
@@ -79,8 +79,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records that bytes of a head have arrived. Has no effect while a request is open: bytes that arrive then belong
-    /// to a later request.
+    /// Records that bytes of a head have arrived. Has no effect unless the connection is idle: what arrives while an answer
+    /// is being made belongs to a later request.
     pub fn head_started(&self) {
         let mut state = self.state();
         if state.stage == Stage::Idle {
--- a/src/transport/front/operators.rs
+++ b/src/transport/front/operators.rs
@@ -145,7 +145,7 @@
     let mut connection = http1::Builder::new();
     connection.keep_alive(false).max_buf_size(MAX_HEAD_BYTES).timer(TokioTimer::new());
     let mut connection = connection.serve_connection(TokioIo::new(stream), service);
-    // A caller that doesn't complete its call or read the answer in time is disconnected without an answer.
+    // A caller that doesn't complete its call or read the answer in time is disconnected.
     let served = poll_fn(|cx| connection.poll_without_shutdown(cx));
     let _ = tokio::time::timeout(CALL_TIMEOUT, served).await;
     linger(&connection.into_parts().io.into_inner()).await;
