--- a/src/documents/expectations.rs
+++ b/src/documents/expectations.rs
@@ -7,8 +7,8 @@
 use crate::expect::model::*;
 use crate::interface::*;
 use crate::membership::check::nearest;
-use crate::membership::refusal::MOST_WEIGHT;
-use crate::membership::{Place, Refusal};
+use crate::membership::refusal::MAX_WEIGHT;
+use crate::membership::{Location, Refusal};
 use crate::protocol::settings::digest;
 
 /// An expectation as a document has it.
@@ -17,9 +17,9 @@
     /// The expectation.
     pub expectation: Expectation,
     /// Where it begins.
-    pub place: Place,
+    pub place: Location,
     /// Where each of what has to come of it stands.
-    pub clauses: Arc<[Place]>,
+    pub clauses: Arc<[Location]>,
 }
 
 /// Reads a document.
@@ -204,7 +204,7 @@
     let mut changes = Vec::new();
     for mut child in node.children(&["server"]) {
         let id = server(site, &child.argument()?)?;
-        let weight = child.get("weight")?.map(|weight| weight.number_to(MOST_WEIGHT)).transpose()?;
+        let weight = child.get("weight")?.map(|weight| weight.number_to(MAX_WEIGHT)).transpose()?;
         let states = [
             ("in-service", ServerState::Ready),
             ("draining", ServerState::Draining),
@@ -273,7 +273,7 @@
     }
 }
 
-fn then(node: &mut Node, site: &Site) -> Result<(Vec<Then>, Vec<Place>), Refusal> {
+fn then(node: &mut Node, site: &Site) -> Result<(Vec<Then>, Vec<Location>), Refusal> {
     const KNOWN: [&str; 13] = [
         "reader",
         "writer",
@@ -289,7 +289,7 @@
         "released",
         "sent-again",
     ];
-    let (mut all, mut places): (Vec<Then>, Vec<Place>) = Default::default();
+    let (mut all, mut places): (Vec<Then>, Vec<Location>) = Default::default();
     for mut child in node.children(&KNOWN) {
         let mut arguments = 0;
         let clause = match child.name() {
--- a/src/documents/operator.rs
+++ b/src/documents/operator.rs
@@ -7,8 +7,8 @@
 use super::read::{Node, Source, Value};
 use crate::interface::*;
 use crate::membership::check::nearest;
-use crate::membership::lives::Steps;
-use crate::membership::{At, Late, Listed, Refusal, SetRules, TrialRules};
+use crate::membership::lives::WeightSteps;
+use crate::membership::{ListedServer, Located, Refusal, SetRules, TimeoutAction, TrialRules};
 use crate::protocol::platform::server_number;
 use crate::protocol::settings::{Links, Names};
 
@@ -60,7 +60,7 @@
     /// Tool servers from watched files.
     pub servers: Option<Watched>,
     /// The tool servers that the document lists itself.
-    pub known: Vec<Listed>,
+    pub known: Vec<ListedServer>,
     /// Settings of the tool servers' router.
     pub settings: Settings,
     /// The names in them.
@@ -189,16 +189,17 @@
     if let Some(child) = node.child("cells")? {
         cells = Some(child.arguments().map(|cell| cell.whole()).collect::<Result<_, _>>()?);
     }
-    let mut steps = Steps { factor: 1.5, every: 2_000_000, first: 0.25 };
+    let mut weight_steps = WeightSteps { factor: 1.5, interval: 2_000_000, initial_fraction: 0.25 };
     if let Some(mut step) = node.child("weight-step")? {
         if let Some(factor) = step.get("factor")? {
-            steps.factor = factor.number_to(100.0)?;
-            if steps.factor <= 1.0 {
+            weight_steps.factor = factor.number_to(100.0)?;
+            if weight_steps.factor <= 1.0 {
                 return Err(factor.refuse("a weight has to grow: the factor must be above 1", None));
             }
         }
-        steps.every = time(&mut step, "every", Duration::from_micros(steps.every), Value::some_time)?
-            .as_micros() as Micros;
+        weight_steps.interval =
+            time(&mut step, "every", Duration::from_micros(weight_steps.interval), Value::some_time)?
+                .as_micros() as Micros;
         step.end(0)?;
     }
     let mut expectations = None;
@@ -211,11 +212,11 @@
         most_bytes: node.get("file-limit")?.map_or(Ok(16 << 20), |value| value.size())?,
         cells,
         rules: SetRules {
-            rest: micros(node, "rest", 2_000_000)?,
-            pace: micros(node, "pace", 200_000)?,
-            drain: micros(node, "drain", 60_000_000)?,
-            leave_at_most: node.get("leave-at-most")?.map_or(Ok(0.5), |value| value.number_to(1.0))?,
-            steps,
+            quiet_period: micros(node, "rest", 2_000_000)?,
+            min_change_interval: micros(node, "pace", 200_000)?,
+            drain_period: micros(node, "drain", 60_000_000)?,
+            max_weight_loss: node.get("leave-at-most")?.map_or(Ok(0.5), |value| value.number_to(1.0))?,
+            weight_steps,
             trial: expectations.as_ref().map(|(_, rules)| *rules),
         },
         state: node.get("state")?.map(|value| value.text()).transpose()?.map(PathBuf::from),
@@ -231,13 +232,13 @@
         let help = "write: expectations \"FILE\"".to_string();
         return Err(node.refuse("'expectations' names no document", Some(help)));
     }
-    let within = time(node, "within", Duration::from_secs(5), Value::some_time)?.as_micros() as Micros;
-    let late = match node.get("late")? {
-        Some(late) => late.one_of(&[("take", Late::Take), ("refuse", Late::Refuse)])?,
-        None => Late::Refuse,
+    let time_limit = time(node, "within", Duration::from_secs(5), Value::some_time)?.as_micros() as Micros;
+    let on_timeout = match node.get("late")? {
+        Some(late) => late.one_of(&[("take", TimeoutAction::Accept), ("refuse", TimeoutAction::Refuse)])?,
+        None => TimeoutAction::Refuse,
     };
     node.end(documents.len())?;
-    Ok((documents, TrialRules { within, late }))
+    Ok((documents, TrialRules { time_limit, on_timeout }))
 }
 
 /// The place of a name among those that the document has given.
@@ -306,14 +307,14 @@
     }
     let links = limits(node, &mut settings)?;
     rules(node, &mut settings.rules)?;
-    let mut listed: Vec<At<Listed>> = Vec::new();
+    let mut listed: Vec<Located<ListedServer>> = Vec::new();
     for mut server in node.children(&["server"]) {
         let one = tool_server(&mut server, &names)?;
         if let Some(first) = listed.iter().find(|first| first.value.entry.id == one.entry.id) {
             let message = format!("'{}' has the id or number of '{}'", one.name, first.value.name);
             return Err(server.refuse(message, None));
         }
-        listed.push(At { value: one, place: server.place() });
+        listed.push(Located { value: one, location: server.place() });
     }
     let servers = node.child("servers")?.map(|mut child| {
         let watched = watched(&mut child)?;
@@ -406,7 +407,7 @@
     Ok(())
 }
 
-fn tool_server(node: &mut Node, names: &Names) -> Result<Listed, Refusal> {
+fn tool_server(node: &mut Node, names: &Names) -> Result<ListedServer, Refusal> {
     let name = node.argument()?.text()?;
     let (address, zone) = (node.need("address")?.text()?, node.get("zone")?);
     let zone = zone.map_or(Ok(0), |zone| known(&names.zones, "zone", &zone))?;
@@ -420,5 +421,5 @@
         weight,
         ..ServerEntry::plain()
     };
-    Ok(Listed { entry, name: name.into(), address: address.into() })
+    Ok(ListedServer { entry, name: name.into(), address: address.into() })
 }
--- a/src/documents/read.rs
+++ b/src/documents/read.rs
@@ -9,7 +9,7 @@
 
 use crate::interface::Micros;
 use crate::membership::check::nearest;
-use crate::membership::{At, Place, Reason, Refusal};
+use crate::membership::{Located, Location, Reason, Refusal};
 
 /// A document's text, and where its lines begin.
 #[derive(Clone, Debug)]
@@ -31,17 +31,17 @@
     }
 
     /// The place of some bytes.
-    pub fn place(&self, offset: usize, length: usize) -> Place {
+    pub fn place(&self, offset: usize, length: usize) -> Location {
         let offset = offset.min(self.text.len());
         let line = self.lines.partition_point(|start| *start <= offset);
         let start = self.lines[line - 1];
         let column = self.text.get(start..offset).map_or(offset - start, |part| part.chars().count()) + 1;
-        Place { file: self.name.clone(), line: line as u32, column: column as u32, offset, length }
+        Location { file: self.name.clone(), line: line as u32, column: column as u32, offset, length }
     }
 
     /// A refusal of some bytes.
     pub fn refuse(&self, at: (usize, usize), message: impl Into<String>, help: Option<String>) -> Refusal {
-        let reason = Reason::Document { message: message.into(), help };
+        let reason = Reason::InvalidDocument { message: message.into(), help };
         Refusal::new(reason, self.place(at.0, at.1))
     }
 
@@ -72,7 +72,7 @@
 
 impl<'a> Value<'a> {
     /// Where it stands.
-    pub fn place(&self) -> Place {
+    pub fn place(&self) -> Location {
         self.source.place(self.span.0, self.span.1)
     }
 
@@ -94,8 +94,8 @@
     }
 
     /// A text with its place.
-    pub fn text_at(&self) -> Result<At<String>, Refusal> {
-        Ok(At { value: self.text()?.to_string(), place: self.place() })
+    pub fn text_at(&self) -> Result<Located<String>, Refusal> {
+        Ok(Located { value: self.text()?.to_string(), location: self.place() })
     }
 
     /// A whole number that fits.
@@ -107,8 +107,8 @@
     }
 
     /// A whole number with its place.
-    pub fn whole_at<T: TryFrom<i128>>(&self) -> Result<At<T>, Refusal> {
-        Ok(At { value: self.whole()?, place: self.place() })
+    pub fn whole_at<T: TryFrom<i128>>(&self) -> Result<Located<T>, Refusal> {
+        Ok(Located { value: self.whole()?, location: self.place() })
     }
 
     /// A number; what is no finite number is left to whoever checks ranges.
@@ -217,7 +217,7 @@
     }
 
     /// Where it begins.
-    pub fn place(&self) -> Place {
+    pub fn place(&self) -> Location {
         let (offset, length) = self.span();
         self.source.place(offset, length)
     }
--- a/src/documents/report.rs
+++ b/src/documents/report.rs
@@ -18,7 +18,7 @@
     /// The refusal beside its document, if that could be read.
     pub fn new(refusal: &'a Refusal, source: Option<&Source>) -> Self {
         let named = |source: &Source| NamedSource::new(&*source.name, source.text.to_string());
-        Shown { refusal, source: source.filter(|_| refusal.place.line > 0).map(named) }
+        Shown { refusal, source: source.filter(|_| refusal.location.line > 0).map(named) }
     }
 
     /// The report, with colours only where a terminal shows them.
@@ -33,7 +33,7 @@
 
 impl fmt::Display for Shown<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.refusal.place, self.refusal.reason)
+        write!(f, "{}: {}", self.refusal.location, self.refusal.reason)
     }
 }
 
@@ -49,9 +49,9 @@
     }
 
     fn labels(&self) -> Option<Box<dyn Iterator<Item = LabeledSpan> + '_>> {
-        let at = &self.refusal.place;
+        let at = &self.refusal.location;
         let here = LabeledSpan::new(Some("here".into()), at.offset, at.length.max(1));
-        let other = self.refusal.other.as_ref().filter(|other| other.file == at.file);
+        let other = self.refusal.related.as_ref().filter(|other| other.file == at.file);
         let other = other.map(|o| LabeledSpan::new(Some("and here".into()), o.offset, o.length.max(1)));
         Some(Box::new(std::iter::once(here).chain(other)))
     }
--- a/src/documents/servers.rs
+++ b/src/documents/servers.rs
@@ -5,7 +5,7 @@
 use super::read::{Node, Source};
 use super::seal::{self, SEAL};
 use crate::interface::Micros;
-use crate::membership::{At, Declared, Digest, Manifest, Reason, Refusal, Revised, SetFile};
+use crate::membership::{Confirmation, DeclaredServer, Digest, Located, Manifest, Reason, Refusal, SetFile};
 use crate::protocol::platform::server_number;
 
 /// The name of the manifest in its directory.
@@ -17,7 +17,7 @@
 
 /// Checks a seal against what it seals.
 fn check_seal(source: &Source, node: &mut Node, count: usize) -> Result<(), Refusal> {
-    let refuse = |node: &Node, problem: String| Err(Refusal::new(Reason::Seal(problem), node.place()));
+    let refuse = |node: &Node, problem: String| Err(Refusal::new(Reason::InvalidSeal(problem), node.place()));
     let (Some(counted), Some(digest)) = (node.get("count")?, node.get("sha256")?) else {
         return refuse(node, "it is cut off".into());
     };
@@ -42,7 +42,7 @@
     let (mut head, mut meant, mut servers, mut sealed) = (None, None, Vec::new(), false);
     for mut node in Node::all(source, &document) {
         if sealed {
-            return Err(Refusal::new(Reason::Seal("something follows it".into()), node.place()));
+            return Err(Refusal::new(Reason::InvalidSeal("something follows it".into()), node.place()));
         }
         match node.name() {
             "servers" if head.is_none() => {
@@ -53,9 +53,9 @@
             }
             "meant" if meant.is_none() => {
                 let (revision, reason) = (node.need("revision")?, node.need("reason")?);
-                let value = Revised { revision: revision.whole()?, reason: reason.text()?.to_string() };
+                let value = Confirmation { revision: revision.whole()?, reason: reason.text()?.to_string() };
                 node.end(0)?;
-                meant = Some(At { value, place: node.place() });
+                meant = Some(Located { value, location: node.place() });
             }
             "servers" | "meant" => {
                 return Err(node.refuse(format!("'{}' stands twice", node.name()), None));
@@ -78,12 +78,12 @@
 }
 
 /// Reads one `server`.
-pub(super) fn server(node: &mut Node) -> Result<Declared, Refusal> {
+pub(super) fn server(node: &mut Node) -> Result<DeclaredServer, Refusal> {
     let id = node.argument()?.text_at()?;
     if id.value.is_empty() {
         return Err(Refusal::new(
-            Reason::Document { message: "the id is empty".into(), help: None },
-            id.place,
+            Reason::InvalidDocument { message: "the id is empty".into(), help: None },
+            id.location,
         ));
     }
     let value = node.need("address")?;
@@ -95,27 +95,27 @@
     let kind = node.need("kind")?.text_at()?;
     let cell = match node.get("cell")? {
         Some(cell) => cell.whole_at()?,
-        None => At { value: 0, place: node.place() },
+        None => Located { value: 0, location: node.place() },
     };
     let weight = match node.get("weight")? {
-        Some(weight) => At { value: weight.number()?, place: weight.place() },
-        None => At { value: WEIGHT, place: node.place() },
+        Some(weight) => Located { value: weight.number()?, location: weight.place() },
+        None => Located { value: WEIGHT, location: node.place() },
     };
     let draining = match node.get("state")? {
         Some(state) => state.one_of(&[("in-service", false), ("draining", true)])?,
         None => false,
     };
     node.end(1)?;
-    Ok(Declared { number: server_number(&id.value), id, address, kind, cell, weight, draining })
+    Ok(DeclaredServer { number: server_number(&id.value), id, address, kind, cell, weight, draining })
 }
 
 /// Reads a manifest.
 pub fn parse_manifest(source: &Source) -> Result<Manifest, Refusal> {
     let document = source.parse()?;
-    let (mut files, mut sealed) = (Vec::<(At<String>, Digest)>::new(), false);
+    let (mut files, mut sealed) = (Vec::<(Located<String>, Digest)>::new(), false);
     for mut node in Node::all(source, &document) {
         if sealed {
-            return Err(Refusal::new(Reason::Seal("something follows it".into()), node.place()));
+            return Err(Refusal::new(Reason::InvalidSeal("something follows it".into()), node.place()));
         }
         match node.name() {
             "file" => {
--- a/src/membership/diff.rs
+++ b/src/membership/diff.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use super::guard::{Files, role_weight};
-use super::set::{Catalog, Declared};
+use super::guard::{FilesByZone, role_weight};
+use super::set::{Catalog, DeclaredServer};
 use crate::interface::Role;
 
 /// What happens to one server.
@@ -23,7 +23,7 @@
     /// The file says that it drains, or does not any more.
     Drains(bool),
     /// It weighs another amount.
-    Weighs {
+    Weight {
         /// Before.
         before: f64,
         /// After.
@@ -37,7 +37,7 @@
         after: String,
     },
     /// Its kind, cell or data centre is another one.
-    Becomes(String),
+    Attribute(String),
 }
 
 /// The part of a role's weight that stands in one data centre, before and after.
@@ -48,13 +48,13 @@
     /// The data centre.
     pub zone: String,
     /// Weight before.
-    pub before: f64,
+    pub weight_before: f64,
     /// Weight after.
-    pub after: f64,
+    pub weight_after: f64,
     /// Its part of the role's weight in all data centres, before, from 0 to 1.
-    pub part_before: f64,
+    pub fraction_before: f64,
     /// The same after.
-    pub part_after: f64,
+    pub fraction_after: f64,
 }
 
 /// All that a change of sets does.
@@ -66,14 +66,14 @@
     pub shares: Vec<Share>,
 }
 
-type ById<'a> = BTreeMap<&'a str, (&'a str, &'a Declared)>;
+type ById<'a> = BTreeMap<&'a str, (&'a str, &'a DeclaredServer)>;
 
-fn by_id(files: &Files) -> ById<'_> {
+fn by_id(files: &FilesByZone) -> ById<'_> {
     let all = files.iter().flat_map(|(zone, file)| file.servers.iter().map(move |s| (zone.as_str(), s)));
     all.map(|(zone, server)| (server.id.value.as_str(), (zone, server))).collect()
 }
 
-fn compare(before: (&str, &Declared), after: (&str, &Declared)) -> Vec<Change> {
+fn compare(before: (&str, &DeclaredServer), after: (&str, &DeclaredServer)) -> Vec<Change> {
     let mut changes = Vec::new();
     let ((old_zone, old), (new_zone, new)) = (before, after);
     if old.address.value != new.address.value {
@@ -81,25 +81,25 @@
         changes.push(Change::Moves { before, after });
     }
     if old_zone != new_zone {
-        changes.push(Change::Becomes(format!("zone {new_zone}")));
+        changes.push(Change::Attribute(format!("zone {new_zone}")));
     }
     if old.kind.value != new.kind.value {
-        changes.push(Change::Becomes(format!("kind {}", new.kind.value)));
+        changes.push(Change::Attribute(format!("kind {}", new.kind.value)));
     }
     if old.cell.value != new.cell.value {
-        changes.push(Change::Becomes(format!("cell {}", new.cell.value)));
+        changes.push(Change::Attribute(format!("cell {}", new.cell.value)));
     }
     if old.draining != new.draining {
         changes.push(Change::Drains(new.draining));
     }
     if old.weight.value != new.weight.value {
-        changes.push(Change::Weighs { before: old.weight.value, after: new.weight.value });
+        changes.push(Change::Weight { before: old.weight.value, after: new.weight.value });
     }
     changes
 }
 
 /// Compares two sets.
-pub fn diff(catalog: &Catalog, before: &Files, after: &Files) -> Diff {
+pub fn diff(catalog: &Catalog, before: &FilesByZone, after: &FilesByZone) -> Diff {
     let (old, new) = (by_id(before), by_id(after));
     let mut diff = Diff::default();
     for (id, (zone, server)) in &new {
@@ -116,9 +116,10 @@
         diff.changes.insert((zone.to_string(), id.to_string()), leaves);
     }
     for role in [Role::Reader, Role::Writer] {
-        let weight =
-            |files: &Files, zone: &str| files.get(zone).map_or(0.0, |file| role_weight(catalog, file, role));
-        let all = |files: &Files| files.keys().map(|zone| weight(files, zone)).sum::<f64>();
+        let weight = |files: &FilesByZone, zone: &str| {
+            files.get(zone).map_or(0.0, |file| role_weight(catalog, file, role))
+        };
+        let all = |files: &FilesByZone| files.keys().map(|zone| weight(files, zone)).sum::<f64>();
         let (all_before, all_after) = (all(before), all(after));
         let part = |weight: f64, all: f64| if all > 0.0 { weight / all } else { 0.0 };
         let mut zones: Vec<&String> = before.keys().chain(after.keys()).collect();
@@ -130,10 +131,10 @@
                 diff.shares.push(Share {
                     role,
                     zone: zone.clone(),
-                    before: was,
-                    after: is,
-                    part_before: part(was, all_before),
-                    part_after: part(is, all_after),
+                    weight_before: was,
+                    weight_after: is,
+                    fraction_before: part(was, all_before),
+                    fraction_after: part(is, all_after),
                 });
             }
         }
--- a/src/membership/guard.rs
+++ b/src/membership/guard.rs
@@ -5,18 +5,18 @@
 use std::sync::Arc;
 
 use super::refusal::{Reason, Refusal};
-use super::set::{Catalog, Declared, SetFile};
+use super::set::{Catalog, DeclaredServer, SetFile};
 use crate::interface::Role;
 
 /// The files of a set by data centre.
-pub type Files = BTreeMap<String, Arc<SetFile>>;
+pub type FilesByZone = BTreeMap<String, Arc<SetFile>>;
 
 /// What a server takes that is new: nothing while it drains.
-fn weight(server: &Declared) -> f64 {
+fn weight(server: &DeclaredServer) -> f64 {
     if server.draining { 0.0 } else { server.weight.value }
 }
 
-fn fits(catalog: &Catalog, server: &Declared, role: Role) -> bool {
+fn fits(catalog: &Catalog, server: &DeclaredServer, role: Role) -> bool {
     catalog.role(&server.kind.value).is_some_and(|found| found == role || found == Role::Mixed)
 }
 
@@ -26,7 +26,12 @@
 }
 
 /// The part of a role's weight in service that a change takes away, and the data centres that lose it.
-pub fn leaving<'a>(catalog: &Catalog, before: &'a Files, after: &Files, role: Role) -> (f64, Vec<&'a str>) {
+pub fn weight_loss<'a>(
+    catalog: &Catalog,
+    before: &'a FilesByZone,
+    after: &FilesByZone,
+    role: Role,
+) -> (f64, Vec<&'a str>) {
     let mut left: BTreeMap<&str, f64> = BTreeMap::new();
     for server in after.values().flat_map(|file| &file.servers).filter(|s| fits(catalog, s, role)) {
         left.insert(&server.id.value, weight(server));
@@ -49,9 +54,14 @@
 
 /// What a change must not do unless it is meant: leave a data centre without a reader or a writer, leave a
 /// role without any weight, or take more than the part `most` of a role's weight away at once.
-pub fn doubts(catalog: &Catalog, before: &Files, after: &Files, most: f64) -> Vec<Refusal> {
+pub fn unconfirmed_losses(
+    catalog: &Catalog,
+    before: &FilesByZone,
+    after: &FilesByZone,
+    limit: f64,
+) -> Vec<Refusal> {
     let mut doubts = Vec::new();
-    let meant = |zone: &str| after.get(zone).is_some_and(|file| file.is_meant());
+    let meant = |zone: &str| after.get(zone).is_some_and(|file| file.is_confirmed());
     for role in [Role::Reader, Role::Writer] {
         if !catalog.kinds.iter().any(|(_, found)| *found == role || *found == Role::Mixed) {
             continue;
@@ -59,8 +69,8 @@
         for (zone, file) in after.iter().filter(|(zone, _)| !meant(zone)) {
             let had = before.get(zone).is_none_or(|file| role_weight(catalog, file, role) > 0.0);
             if had && role_weight(catalog, file, role) <= 0.0 {
-                let reason = Reason::NoneLeft { zone: zone.clone(), role };
-                doubts.push(Refusal::new(reason, file.zone.place.clone()));
+                let reason = Reason::ZoneWithoutRole { zone: zone.clone(), role };
+                doubts.push(Refusal::new(reason, file.zone.location.clone()));
             }
         }
         // Whoever changed has to have meant it.
@@ -69,16 +79,16 @@
             .filter(|(zone, file)| before.get(*zone).is_none_or(|old| old.digest != file.digest))
             .map(|(_, file)| file)
             .collect();
-        let Some(first) = changed.iter().find(|file| !file.is_meant()) else { continue };
+        let Some(first) = changed.iter().find(|file| !file.is_confirmed()) else { continue };
         if after.values().all(|file| role_weight(catalog, file, role) <= 0.0) {
-            doubts.push(Refusal::new(Reason::NoWeight(role), first.zone.place.clone()));
+            doubts.push(Refusal::new(Reason::RoleWithoutWeight(role), first.zone.location.clone()));
         }
-        let (share, zones) = leaving(catalog, before, after, role);
+        let (share, zones) = weight_loss(catalog, before, after, role);
         if let Some(zone) = zones.iter().find(|zone| !meant(zone))
-            && share > most
+            && share > limit
         {
-            let place = after.get(*zone).unwrap_or(first).zone.place.clone();
-            doubts.push(Refusal::new(Reason::Leaving { role, share, most }, place));
+            let place = after.get(*zone).unwrap_or(first).zone.location.clone();
+            doubts.push(Refusal::new(Reason::ExcessiveWeightLoss { role, share, limit }, place));
         }
     }
     doubts
--- a/src/membership/lives.rs
+++ b/src/membership/lives.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::guard::Files;
+use super::guard::FilesByZone;
 use crate::interface::{Micros, ServerId};
 
 /// Where a member stands.
@@ -23,7 +23,7 @@
 
 /// One member.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Life {
+pub struct TrackedMember {
     /// Its id.
     pub name: Arc<str>,
     /// Its data centre.
@@ -48,23 +48,23 @@
 
 /// How weights grow. A smaller weight holds at once: less work pushes nobody over.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Steps {
+pub struct WeightSteps {
     /// A weight grows to this multiple of itself at most in one step.
     pub factor: f64,
     /// Time between two steps.
-    pub every: Micros,
+    pub interval: Micros,
     /// A weight that was 0 begins at this part of what is wanted.
-    pub first: f64,
+    pub initial_fraction: f64,
 }
 
-impl Steps {
+impl WeightSteps {
     fn next(&self, weight: f64, target: f64) -> f64 {
-        if weight > 0.0 { (weight * self.factor).min(target) } else { target * self.first }
+        if weight > 0.0 { (weight * self.factor).min(target) } else { target * self.initial_fraction }
     }
 }
 
-impl Life {
-    fn want(&mut self, now: Micros, target: f64, steps: &Steps) {
+impl TrackedMember {
+    fn want(&mut self, now: Micros, target: f64, steps: &WeightSteps) {
         self.target = target;
         if target <= self.weight {
             (self.weight, self.step_at) = (target, None);
@@ -73,27 +73,34 @@
         }
     }
 
-    fn step(&mut self, now: Micros, steps: &Steps) {
+    fn step(&mut self, now: Micros, steps: &WeightSteps) {
         self.weight = steps.next(self.weight, self.target);
-        self.step_at = (self.weight < self.target).then_some(now + steps.every);
+        self.step_at = (self.weight < self.target).then_some(now + steps.interval);
     }
 }
 
 /// All members that the files have named and that are not gone.
 #[derive(Debug, Default)]
-pub struct Lives {
-    members: BTreeMap<ServerId, Life>,
+pub struct MemberTracker {
+    members: BTreeMap<ServerId, TrackedMember>,
 }
 
-impl Lives {
+impl MemberTracker {
     /// The members by number.
-    pub fn iter(&self) -> impl Iterator<Item = (&ServerId, &Life)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&ServerId, &TrackedMember)> {
         self.members.iter()
     }
 
     /// Takes a set on. At the first one, servers have been there for nobody knows how long; a server that
     /// comes later is a new process, empty and cold.
-    pub fn take(&mut self, now: Micros, files: &Files, first: bool, drain: Micros, steps: &Steps) {
+    pub fn apply(
+        &mut self,
+        now: Micros,
+        files: &FilesByZone,
+        first: bool,
+        drain: Micros,
+        steps: &WeightSteps,
+    ) {
         let mut named = BTreeMap::new();
         for file in files.values() {
             named.extend(file.servers.iter().map(|server| (server.number, (file, server))));
@@ -118,7 +125,7 @@
                     life.want(now, server.weight.value, steps);
                 }
                 None => {
-                    let life = Life {
+                    let life = TrackedMember {
                         name: server.id.value.as_str().into(),
                         zone: file.zone.value.clone(),
                         kind: server.kind.value.clone(),
@@ -137,7 +144,7 @@
     }
 
     /// Lets time pass; says whether anything changed.
-    pub fn pass(&mut self, now: Micros, steps: &Steps) -> bool {
+    pub fn advance(&mut self, now: Micros, steps: &WeightSteps) -> bool {
         let before = self.members.len();
         self.members.retain(|_, life| !matches!(life.phase, Phase::Leaving { until } if until <= now));
         let mut changed = self.members.len() != before;
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -22,6 +22,6 @@
 mod trial;
 
 pub use refusal::{Reason, Refusal};
-pub use set::{At, Catalog, Declared, Digest, Manifest, Place, Revised, Scan, SetFile};
-pub use state::{Cause, Generation, Input, Listed, Member, Membership, Output, SetRules};
-pub use trial::{Late, TrialRules};
+pub use set::{Catalog, Confirmation, DeclaredServer, Digest, Located, Location, Manifest, Scan, SetFile};
+pub use state::{Cause, Generation, Input, ListedServer, Member, Membership, Output, SetRules};
+pub use trial::{TimeoutAction, TrialRules};
--- a/src/membership/refusal.rs
+++ b/src/membership/refusal.rs
@@ -4,7 +4,7 @@
 
 use thiserror::Error;
 
-use super::set::{Digest, Place};
+use super::set::{Digest, Location};
 use crate::interface::Role;
 
 /// What is wrong.
@@ -21,7 +21,7 @@
     NotUtf8,
     /// It is no document of the kind that is expected.
     #[error("{message}")]
-    Document {
+    InvalidDocument {
         /// What is wrong.
         message: String,
         /// What to write in its place.
@@ -29,54 +29,54 @@
     },
     /// What stands before the seal is not what was sealed.
     #[error("the seal does not fit: {0}")]
-    Seal(String),
+    InvalidSeal(String),
     /// A file without a seal has to rest before it is taken.
     #[error("has no seal, and is taken when it has rested")]
-    Resting,
+    AwaitingQuietPeriod,
     /// The file in service has a seal, this one has none: it may have been cut off just before it.
     #[error("the file in service has a seal, this one has lost it")]
     SealLost,
     /// A file has gone; that is no instruction.
     #[error("the file of data centre '{0}' is missing; its servers stay")]
-    Missing(String),
+    FileMissing(String),
     /// The manifest has gone; that is no instruction either.
     #[error("the manifest is missing; all servers stay")]
-    NoManifest,
+    ManifestMissing,
     /// The manifest names a file that is not there.
     #[error("the manifest names '{0}', which is not there or can't be read")]
-    Unlisted(String),
+    ManifestFileMissing(String),
     /// A file is not the one that the manifest means.
-    #[error("'{file}' has the digest {found}, the manifest wants {wanted}")]
-    Manifest {
+    #[error("'{file}' has the digest {digest}, the manifest wants {expected}")]
+    DigestMismatch {
         /// The file.
         file: String,
         /// Its digest.
-        found: Digest,
+        digest: Digest,
         /// The manifest's.
-        wanted: Digest,
+        expected: Digest,
     },
     /// Two files declare one data centre.
     #[error("data centre '{0}' is declared by two files")]
-    TwoFiles(String),
+    DuplicateZone(String),
     /// One id stands twice.
     #[error("the id '{0}' stands twice")]
-    TwiceId(String),
+    DuplicateId(String),
     /// Two ids have one number.
     #[error("'{0}' and '{1}' have the same number; one of them needs another id")]
-    SameNumber(String, String),
+    NumberCollision(String, String),
     /// One address stands under two ids.
-    #[error("the address {address} is that of '{one}' and of '{other}'")]
-    TwiceAddress {
+    #[error("the address {address} is that of '{first}' and of '{second}'")]
+    DuplicateAddress {
         /// The address.
         address: String,
         /// One id.
-        one: String,
+        first: String,
         /// The other.
-        other: String,
+        second: String,
     },
     /// A name is not among the settings.
     #[error("there is no {what} '{name}'")]
-    Unknown {
+    UnknownName {
         /// Zone or kind.
         what: &'static str,
         /// The name.
@@ -88,48 +88,48 @@
     #[error("there is no cell {0}")]
     UnknownCell(u32),
     /// A cell can't lie in two data centres.
-    #[error("cell {cell} lies in '{one}' and in '{other}'")]
-    CellTwice {
+    #[error("cell {cell} lies in '{first_zone}' and in '{second_zone}'")]
+    CellInTwoZones {
         /// The cell.
         cell: u32,
         /// One data centre.
-        one: String,
+        first_zone: String,
         /// The other.
-        other: String,
+        second_zone: String,
     },
     /// A weight that can't be.
-    #[error("the weight {0} is not between 0 and {MOST_WEIGHT}")]
-    Weight(String),
+    #[error("the weight {0} is not between 0 and {MAX_WEIGHT}")]
+    WeightOutOfRange(String),
     /// An older revision, and no word of a roll-back.
-    #[error("revision {found} is older than {held}, which is in service")]
-    Old {
+    #[error("revision {revision} is older than {in_service}, which is in service")]
+    OlderRevision {
         /// Of the file.
-        found: u64,
+        revision: u64,
         /// In service.
-        held: u64,
+        in_service: u64,
     },
     /// The same revision with another content.
     #[error("revision {0} is in service with another content")]
     SameRevision(u64),
     /// A roll-back of a revision that is not in service.
-    #[error("it rolls revision {named} back, but {held} is in service")]
-    Rollback {
+    #[error("it rolls revision {named} back, but {in_service} is in service")]
+    RollbackMismatch {
         /// Named by the file.
         named: u64,
         /// In service.
-        held: u64,
+        in_service: u64,
     },
     /// `meant` speaks of another revision.
-    #[error("'meant' names revision {named}, the file is revision {found}")]
-    Meant {
+    #[error("'meant' names revision {named}, the file is revision {revision}")]
+    ConfirmationMismatch {
         /// Named by `meant`.
         named: u64,
         /// Of the file.
-        found: u64,
+        revision: u64,
     },
     /// Nobody would be left for a role in a data centre.
     #[error("data centre '{zone}' would have no {}", role_name(*role))]
-    NoneLeft {
+    ZoneWithoutRole {
         /// The data centre.
         zone: String,
         /// The role.
@@ -137,25 +137,25 @@
     },
     /// All servers of a role would have the weight 0.
     #[error("no {} would have a weight above 0", role_name(*.0))]
-    NoWeight(Role),
+    RoleWithoutWeight(Role),
     /// Too much would leave at once.
     #[error(
         "{:.0}% of the weight of all {}s would leave at once; {:.0}% may",
         share * 100.0,
         role_name(*role),
-        most * 100.0
+        limit * 100.0
     )]
-    Leaving {
+    ExcessiveWeightLoss {
         /// The role.
         role: Role,
         /// The part of its weight that would leave, from 0 to 1.
         share: f64,
         /// The part that may.
-        most: f64,
+        limit: f64,
     },
     /// An expectation does not hold with it.
     #[error("the expectation '{name}' {verdict}: {why}")]
-    Expectation {
+    ExpectationNotMet {
         /// Its name.
         name: String,
         /// That it fails, or stays undecided.
@@ -166,19 +166,19 @@
     /// Its expectations were not tried in time.
     #[error(
         "its expectations were not settled within {} ms; it is {}",
-        within / 1_000,
-        if *taken { "taken all the same" } else { "refused" }
+        time_limit / 1_000,
+        if *accepted { "taken all the same" } else { "refused" }
     )]
-    TrialLate {
+    TrialTimedOut {
         /// The time that a trial may last, in microseconds.
-        within: u64,
+        time_limit: u64,
         /// It is taken, not refused.
-        taken: bool,
+        accepted: bool,
     },
 }
 
 /// The largest weight of a server. A rack of servers behind one address weighs some tens; more is a mistake.
-pub const MOST_WEIGHT: f64 = 1000.0;
+pub const MAX_WEIGHT: f64 = 1000.0;
 
 /// A role as operators say it.
 pub fn role_name(role: Role) -> &'static str {
@@ -193,29 +193,41 @@
     /// What the operator can do about it.
     pub fn remedy(&self) -> Option<String> {
         let text = match self {
-            Reason::Document { help, .. } => return help.clone(),
-            Reason::Unknown { nearest, .. } => {
+            Reason::InvalidDocument { help, .. } => return help.clone(),
+            Reason::UnknownName { nearest, .. } => {
                 return nearest.as_ref().map(|name| format!("did you mean '{name}'?"));
             }
-            Reason::Seal(_) => "write it again whole, then `birchspur servers seal FILE`",
-            Reason::SealLost | Reason::Resting => "`birchspur servers seal FILE` lets it be taken at once",
-            Reason::Missing(_) => "to take a data centre out, leave its file with no servers and a 'meant'",
-            Reason::NoManifest => "put it back; without one at the start, each file changes by itself",
-            Reason::Unlisted(_) | Reason::Manifest { .. } => {
+            Reason::InvalidSeal(_) => "write it again whole, then `birchspur servers seal FILE`",
+            Reason::SealLost | Reason::AwaitingQuietPeriod => {
+                "`birchspur servers seal FILE` lets it be taken at once"
+            }
+            Reason::FileMissing(_) => {
+                "to take a data centre out, leave its file with no servers and a 'meant'"
+            }
+            Reason::ManifestMissing => "put it back; without one at the start, each file changes by itself",
+            Reason::ManifestFileMissing(_) | Reason::DigestMismatch { .. } => {
                 "put all files in place, then `birchspur servers seal --manifest DIR`"
             }
-            Reason::TwoFiles(_) => "leave one file a data centre",
-            Reason::Old { .. } => "raise 'revision', or say 'rollback-of' with the revision in service",
+            Reason::DuplicateZone(_) => "leave one file a data centre",
+            Reason::OlderRevision { .. } => {
+                "raise 'revision', or say 'rollback-of' with the revision in service"
+            }
             Reason::SameRevision(_) => "raise 'revision' with each change",
-            Reason::Rollback { .. } => "name the revision that is in service in 'rollback-of'",
-            Reason::Meant { .. } => "'meant' holds for one revision: name this one, or take it out",
-            Reason::NoneLeft { .. } | Reason::NoWeight(_) | Reason::Leaving { .. } => {
+            Reason::RollbackMismatch { .. } => "name the revision that is in service in 'rollback-of'",
+            Reason::ConfirmationMismatch { .. } => {
+                "'meant' holds for one revision: name this one, or take it out"
+            }
+            Reason::ZoneWithoutRole { .. }
+            | Reason::RoleWithoutWeight(_)
+            | Reason::ExcessiveWeightLoss { .. } => {
                 "if it is so, add `meant revision=N reason=\"...\"` with the file's revision"
             }
-            Reason::Expectation { .. } => {
+            Reason::ExpectationNotMet { .. } => {
                 "correct the files or the expectation; `birchspur expect` tries them by hand"
             }
-            Reason::TrialLate { .. } => "give 'within' more time, or ask fewer requests of the expectations",
+            Reason::TrialTimedOut { .. } => {
+                "give 'within' more time, or ask fewer requests of the expectations"
+            }
             Reason::TooLarge(_) => "split it by data centre",
             Reason::UnknownCell(_) => "list it under 'cells' in the operator's document",
             _ => return None,
@@ -224,8 +236,13 @@
     }
 
     /// The set agrees with itself but is not believed: the operator can say that it is meant.
-    pub fn can_be_meant(&self) -> bool {
-        matches!(self, Reason::NoneLeft { .. } | Reason::NoWeight(_) | Reason::Leaving { .. })
+    pub fn can_be_confirmed(&self) -> bool {
+        matches!(
+            self,
+            Reason::ZoneWithoutRole { .. }
+                | Reason::RoleWithoutWeight(_)
+                | Reason::ExcessiveWeightLoss { .. }
+        )
     }
 }
 
@@ -235,27 +252,27 @@
     /// What is wrong.
     pub reason: Box<Reason>,
     /// Where.
-    pub place: Place,
+    pub location: Location,
     /// Where else it shows, such as the other of two.
-    pub other: Option<Place>,
+    pub related: Option<Location>,
 }
 
 impl Refusal {
     /// A refusal with one place.
-    pub fn new(reason: Reason, place: Place) -> Self {
-        Self::with(reason, place, None)
+    pub fn new(reason: Reason, location: Location) -> Self {
+        Self::with_related(reason, location, None)
     }
 
     /// A refusal with another place where it shows.
-    pub fn with(reason: Reason, place: Place, other: Option<Place>) -> Self {
-        Refusal { reason: Box::new(reason), place, other }
+    pub fn with_related(reason: Reason, location: Location, related: Option<Location>) -> Self {
+        Refusal { reason: Box::new(reason), location, related }
     }
 }
 
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.place, self.reason)?;
-        if let Some(other) = &self.other {
+        write!(f, "{}: {}", self.location, self.reason)?;
+        if let Some(other) = &self.related {
             write!(f, " (see also {other})")?;
         }
         match self.reason.remedy() {
--- a/src/membership/set.rs
+++ b/src/membership/set.rs
@@ -8,7 +8,7 @@
 
 /// Where something stands in a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct Location {
     /// The file's name within its directory.
     pub file: Arc<str>,
     /// Line, from 1; 0 where the whole file is meant.
@@ -21,14 +21,14 @@
     pub length: usize,
 }
 
-impl Place {
+impl Location {
     /// The whole of a file.
-    pub fn whole(file: impl Into<Arc<str>>) -> Self {
-        Place { file: file.into(), line: 0, column: 0, offset: 0, length: 0 }
+    pub fn whole_file(file: impl Into<Arc<str>>) -> Self {
+        Location { file: file.into(), line: 0, column: 0, offset: 0, length: 0 }
     }
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.line {
             0 => write!(f, "{}", self.file),
@@ -39,11 +39,11 @@
 
 /// A value and where it stands.
 #[derive(Clone, Debug, PartialEq)]
-pub struct At<T> {
+pub struct Located<T> {
     /// The value.
     pub value: T,
     /// Where it stands.
-    pub place: Place,
+    pub location: Location,
 }
 
 /// SHA-256 of a file's bytes.
@@ -64,26 +64,26 @@
 
 /// One server as a file declares it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Declared {
+pub struct DeclaredServer {
     /// Its id.
-    pub id: At<String>,
+    pub id: Located<String>,
     /// The number that decisions know it by, made from the id.
     pub number: ServerId,
     /// Where it listens.
-    pub address: At<String>,
+    pub address: Located<String>,
     /// The name of its kind.
-    pub kind: At<String>,
+    pub kind: Located<String>,
     /// Its cell.
-    pub cell: At<u32>,
+    pub cell: Located<u32>,
     /// Its weight: capacity against others of its role; 0 takes nothing new.
-    pub weight: At<f64>,
+    pub weight: Located<f64>,
     /// It finishes what it has.
     pub draining: bool,
 }
 
 /// A figure that names a revision, with the operator's reason.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Revised {
+pub struct Confirmation {
     /// The revision named.
     pub revision: u64,
     /// Why.
@@ -102,20 +102,20 @@
     /// Its last node counts and digests all before it, so that it can't have been cut off.
     pub sealed: bool,
     /// The data centre.
-    pub zone: At<String>,
+    pub zone: Located<String>,
     /// Grows with each change.
-    pub revision: At<u64>,
+    pub revision: Located<u64>,
     /// This older revision takes the place of that newer one on purpose.
-    pub rollback_of: Option<At<u64>>,
+    pub rollback_of: Option<Located<u64>>,
     /// The operator means what would be held back, in just this revision.
-    pub meant: Option<At<Revised>>,
+    pub meant: Option<Located<Confirmation>>,
     /// The servers.
-    pub servers: Vec<Declared>,
+    pub servers: Vec<DeclaredServer>,
 }
 
 impl SetFile {
     /// Whether what would be held back is meant, in this very revision.
-    pub fn is_meant(&self) -> bool {
+    pub fn is_confirmed(&self) -> bool {
         self.meant.as_ref().is_some_and(|meant| meant.value.revision == self.revision.value)
     }
 }
@@ -130,7 +130,7 @@
     /// It can't have been cut off.
     pub sealed: bool,
     /// The files by name, and the digest that each must have.
-    pub files: Vec<(At<String>, Digest)>,
+    pub files: Vec<(Located<String>, Digest)>,
 }
 
 /// What a directory held when it was read.
--- a/src/membership/state.rs
+++ b/src/membership/state.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 
 use super::check;
-use super::guard::{self, Files};
-use super::intake::Rests;
-use super::lives::{Lives, Phase, Steps};
+use super::guard::{self, FilesByZone};
+use super::intake::Intake;
+use super::lives::{MemberTracker, Phase, WeightSteps};
 use super::refusal::{Reason, Refusal};
 use super::set::{Catalog, Scan, SetFile};
 use super::trial::{Ask, Candidate, TrialRules, Trials, same};
@@ -16,23 +16,23 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SetRules {
     /// A file without a seal has to stand unchanged for so long.
-    pub rest: Micros,
+    pub quiet_period: Micros,
     /// Between two changes that the files bring lies at least so much time; of what comes in between, the
     /// newest counts.
-    pub pace: Micros,
+    pub min_change_interval: Micros,
     /// Who leaves the files drains for so long.
-    pub drain: Micros,
+    pub drain_period: Micros,
     /// The part of a role's weight that may leave at once, from 0 to 1.
-    pub leave_at_most: f64,
+    pub max_weight_loss: f64,
     /// How weights grow.
-    pub steps: Steps,
+    pub weight_steps: WeightSteps,
     /// How a set is tried before it is taken; none: it is not.
     pub trial: Option<TrialRules>,
 }
 
 /// A server as discovery lists it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedServer {
     /// The entry.
     pub entry: ServerEntry,
     /// Its id.
@@ -49,9 +49,9 @@
     /// The last good set, kept from an earlier run: the generation's number and the files.
     Saved(u64, Vec<Arc<SetFile>>),
     /// News of discovery.
-    Discovery(ListScope, Vec<Listed>),
+    Discovery(ListScope, Vec<ListedServer>),
     /// A trial that was asked for has ended: what speaks against the set, or nothing.
-    Tried(u64, Vec<Refusal>),
+    TrialEnded(u64, Vec<Refusal>),
     /// Time has passed.
     Tick,
 }
@@ -88,7 +88,7 @@
     /// The members by number; who is not here is gone.
     pub members: Vec<Member>,
     /// The files that it stands on, by data centre.
-    pub files: Files,
+    pub files: FilesByZone,
 }
 
 /// What is to be done.
@@ -101,9 +101,9 @@
     /// Something of a scan is not taken; said once for as long as it stands.
     Refuse(Refusal),
     /// What was refused before is taken or gone.
-    Settled,
+    RefusalsCleared,
     /// Try these files, by data centre; [`Input::Tried`] with this number is owed, unless it is stopped.
-    Try(u64, Files),
+    StartTrial(u64, FilesByZone),
     /// The trial of this number need not go on.
     StopTrial(u64),
     /// What speaks against a set that is taken all the same.
@@ -117,9 +117,9 @@
     rules: SetRules,
     /// Files are set up: discovery alone makes nobody a member.
     by_files: bool,
-    accepted: Files,
+    accepted: FilesByZone,
     scan: Scan,
-    rests: Rests,
+    rests: Intake,
     manifest_seen: bool,
     wake: Option<Micros>,
     next_change: Micros,
@@ -127,8 +127,8 @@
     pending: Option<Candidate>,
     trials: Trials,
     told: Vec<Refusal>,
-    lives: Lives,
-    listed: BTreeMap<ServerId, Listed>,
+    lives: MemberTracker,
+    listed: BTreeMap<ServerId, ListedServer>,
     number: u64,
     last: Option<Arc<Generation>>,
 }
@@ -140,16 +140,16 @@
             catalog,
             rules,
             by_files,
-            accepted: Files::new(),
+            accepted: FilesByZone::new(),
             scan: Scan::default(),
-            rests: Rests::default(),
+            rests: Intake::default(),
             manifest_seen: false,
             wake: None,
             next_change: 0,
             pending: None,
             trials: Trials::new(rules.trial),
             told: Vec::new(),
-            lives: Lives::default(),
+            lives: MemberTracker::default(),
             listed: BTreeMap::new(),
             number: 0,
             last: None,
@@ -162,7 +162,7 @@
     }
 
     /// The files in service, by data centre.
-    pub fn accepted(&self) -> &Files {
+    pub fn accepted(&self) -> &FilesByZone {
         &self.accepted
     }
 
@@ -180,7 +180,8 @@
             }
             Input::Saved(number, files) => {
                 self.number = self.number.max(number);
-                let files: Files = files.into_iter().map(|file| (file.zone.value.clone(), file)).collect();
+                let files: FilesByZone =
+                    files.into_iter().map(|file| (file.zone.value.clone(), file)).collect();
                 // It was good when it was kept, but the settings may be others now.
                 let refusals = check::contradictions(&self.catalog, &files);
                 if refusals.is_empty() && self.accepted.is_empty() {
@@ -191,7 +192,7 @@
                 }
             }
             Input::Discovery(scope, listed) => self.on_discovery(scope, listed, out),
-            Input::Tried(number, refusals) => {
+            Input::TrialEnded(number, refusals) => {
                 if let Some(candidate) = self.trials.found(number, refusals) {
                     self.take(now, candidate, out);
                 }
@@ -209,7 +210,7 @@
                 if self.wake.is_some_and(|at| at <= now) {
                     self.consider(now, out);
                 }
-                if self.lives.pass(now, &self.rules.steps) {
+                if self.lives.advance(now, &self.rules.weight_steps) {
                     self.publish(Cause::Time, out);
                 }
             }
@@ -219,8 +220,8 @@
     /// Looks at the newest scan: takes it, waits, or says why not.
     fn consider(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.wake = None;
-        let found = self.rests.look(now, &self.scan, self.manifest_seen, self.rules.rest);
-        self.wake = found.rested_at;
+        let found = self.rests.examine(now, &self.scan, self.manifest_seen, self.rules.quiet_period);
+        self.wake = found.quiet_period_ends_at;
         let (mut refusals, mut candidate) = (found.refusals, self.accepted.clone());
         if !found.blocked {
             for (zone, file) in &found.files {
@@ -236,7 +237,7 @@
             self.look_for_missing(&mut refusals);
         }
         let in_parts = self.scan.manifest.is_none();
-        let stale = !in_parts && refusals.iter().any(|r| *r.reason != Reason::Resting);
+        let stale = !in_parts && refusals.iter().any(|r| *r.reason != Reason::AwaitingQuietPeriod);
         if found.blocked || stale || same(&candidate, &self.accepted) {
             if refusals.is_empty() {
                 // It has gone back to what is in service.
@@ -247,7 +248,12 @@
         }
         let mut blocking = check::contradictions(&self.catalog, &candidate);
         if blocking.is_empty() {
-            blocking = guard::doubts(&self.catalog, &self.accepted, &candidate, self.rules.leave_at_most);
+            blocking = guard::unconfirmed_losses(
+                &self.catalog,
+                &self.accepted,
+                &candidate,
+                self.rules.max_weight_loss,
+            );
         }
         if blocking.is_empty() {
             blocking = self.trials.against(&candidate).to_vec();
@@ -273,7 +279,7 @@
         } else if let Some(candidate) = self.pending.take() {
             match self.trials.ask(now, candidate) {
                 Ask::Take(candidate) => self.take(now, candidate, out),
-                Ask::Try(number, files) => out.push(Output::Try(number, files)),
+                Ask::Try(number, files) => out.push(Output::StartTrial(number, files)),
                 Ask::Wait(candidate) => self.pending = Some(candidate),
                 Ask::Known => {}
             }
@@ -283,7 +289,7 @@
     /// Takes a good set.
     fn take(&mut self, now: Micros, Candidate { files, by_manifest }: Candidate, out: &mut Vec<Output>) {
         self.manifest_seen |= by_manifest;
-        self.next_change = now.saturating_add(self.rules.pace);
+        self.next_change = now.saturating_add(self.rules.min_change_interval);
         self.accept(now, files, out);
     }
 
@@ -292,18 +298,18 @@
         for (zone, held) in &self.accepted {
             let here = self.scan.files.iter().any(|file| match file {
                 Ok(file) => file.zone.value == *zone || file.name == held.name,
-                Err(refusal) => refusal.place.file == held.name,
+                Err(refusal) => refusal.location.file == held.name,
             });
             if !here {
-                let place = super::Place::whole(held.name.clone());
-                refusals.push(Refusal::new(Reason::Missing(zone.clone()), place));
+                let place = super::Location::whole_file(held.name.clone());
+                refusals.push(Refusal::new(Reason::FileMissing(zone.clone()), place));
             }
         }
     }
 
-    fn accept(&mut self, now: Micros, files: Files, out: &mut Vec<Output>) {
+    fn accept(&mut self, now: Micros, files: FilesByZone, out: &mut Vec<Output>) {
         let first = self.accepted.is_empty();
-        self.lives.take(now, &files, first, self.rules.drain, &self.rules.steps);
+        self.lives.apply(now, &files, first, self.rules.drain_period, &self.rules.weight_steps);
         self.accepted = files;
         if let Some(generation) = self.publish(Cause::Files, out) {
             out.push(Output::Save(generation));
@@ -314,13 +320,13 @@
     fn tell(&mut self, refusals: Vec<Refusal>, out: &mut Vec<Output>) {
         let before = std::mem::replace(&mut self.told, refusals);
         if self.told.is_empty() && !before.is_empty() {
-            out.push(Output::Settled);
+            out.push(Output::RefusalsCleared);
         }
         let fresh = self.told.iter().filter(|refusal| !before.contains(refusal));
         out.extend(fresh.cloned().map(Output::Refuse));
     }
 
-    fn on_discovery(&mut self, scope: ListScope, listed: Vec<Listed>, out: &mut Vec<Output>) {
+    fn on_discovery(&mut self, scope: ListScope, listed: Vec<ListedServer>, out: &mut Vec<Output>) {
         match scope {
             ListScope::Failed => return,
             ListScope::Full | ListScope::Cached => self.listed.clear(),
@@ -355,8 +361,11 @@
     }
 
     fn as_listed(&self) -> Vec<Member> {
-        let member =
-            |one: &Listed| Member { entry: one.entry, name: one.name.clone(), address: one.address.clone() };
+        let member = |one: &ListedServer| Member {
+            entry: one.entry,
+            name: one.name.clone(),
+            address: one.address.clone(),
+        };
         self.listed.values().map(member).collect()
     }
 
--- a/src/membership/trial.rs
+++ b/src/membership/trial.rs
@@ -3,16 +3,16 @@
 //!
 //! What an expectation is, this room does not know: it asks for a trial and is told what was found.
 
-use super::guard::Files;
+use super::guard::FilesByZone;
 use super::refusal::{Reason, Refusal};
-use super::set::Place;
+use super::set::Location;
 use crate::interface::Micros;
 
 /// What becomes of a set whose trial does not end in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Late {
+pub enum TimeoutAction {
     /// It is taken, and that is said.
-    Take,
+    Accept,
     /// It is refused.
     Refuse,
 }
@@ -21,16 +21,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrialRules {
     /// How long a trial may last.
-    pub within: Micros,
+    pub time_limit: Micros,
     /// What becomes of a set whose trial lasts longer.
-    pub late: Late,
+    pub on_timeout: TimeoutAction,
 }
 
 /// A good set that is not in service yet.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Candidate {
     /// Its files, by data centre.
-    pub files: Files,
+    pub files: FilesByZone,
     /// A manifest names them.
     pub by_manifest: bool,
 }
@@ -41,7 +41,7 @@
     /// Take it.
     Take(Candidate),
     /// Try it; the trial has this number.
-    Try(u64, Files),
+    Try(u64, FilesByZone),
     /// Another one is being tried.
     Wait(Candidate),
     /// It has failed before.
@@ -71,7 +71,7 @@
 pub(super) struct Trials {
     rules: Option<TrialRules>,
     running: Option<Running>,
-    failed: Option<(Files, Vec<Refusal>)>,
+    failed: Option<(FilesByZone, Vec<Refusal>)>,
     number: u64,
 }
 
@@ -86,7 +86,7 @@
     }
 
     /// What is known against a set; nothing if it has not failed.
-    pub(super) fn against(&self, files: &Files) -> &[Refusal] {
+    pub(super) fn against(&self, files: &FilesByZone) -> &[Refusal] {
         match &self.failed {
             Some((failed, refusals)) if same(failed, files) => refusals,
             _ => &[],
@@ -94,7 +94,7 @@
     }
 
     /// Whether this set is being tried.
-    pub(super) fn tries(&self, files: &Files) -> bool {
+    pub(super) fn tries(&self, files: &FilesByZone) -> bool {
         self.running.as_ref().is_some_and(|running| same(&running.candidate.files, files))
     }
 
@@ -109,7 +109,7 @@
         }
         self.number += 1;
         let files = candidate.files.clone();
-        let until = now.saturating_add(rules.within);
+        let until = now.saturating_add(rules.time_limit);
         self.running = Some(Running { number: self.number, candidate, until });
         Ask::Try(self.number, files)
     }
@@ -126,14 +126,16 @@
 
     /// Ends a trial that is overdue.
     pub(super) fn pass(&mut self, now: Micros) -> Option<Overdue> {
-        let TrialRules { within, late } = self.rules?;
+        let TrialRules { time_limit, on_timeout } = self.rules?;
         let Running { number, candidate, .. } = self.running.take_if(|running| running.until <= now)?;
         let file = candidate.files.values().next().map_or("".into(), |file| file.name.clone());
-        let refusal =
-            Refusal::new(Reason::TrialLate { within, taken: late == Late::Take }, Place::whole(file));
-        let take = match late {
-            Late::Take => Some(candidate),
-            Late::Refuse => {
+        let refusal = Refusal::new(
+            Reason::TrialTimedOut { time_limit, accepted: on_timeout == TimeoutAction::Accept },
+            Location::whole_file(file),
+        );
+        let take = match on_timeout {
+            TimeoutAction::Accept => Some(candidate),
+            TimeoutAction::Refuse => {
                 self.failed = Some((candidate.files, vec![refusal.clone()]));
                 None
             }
@@ -143,6 +145,6 @@
 }
 
 /// The same files by their digests: what they declare need not be compared.
-pub(super) fn same(one: &Files, other: &Files) -> bool {
+pub(super) fn same(one: &FilesByZone, other: &FilesByZone) -> bool {
     one.len() == other.len() && one.values().zip(other.values()).all(|(a, b)| a.digest == b.digest)
 }
--- a/src/program/cli/expect/report.rs
+++ b/src/program/cli/expect/report.rs
@@ -9,7 +9,7 @@
 use crate::expect::reasons::{self, Met};
 use crate::expect::{self, Site};
 use crate::interface::Cost;
-use crate::membership::{Place, Reason, Refusal};
+use crate::membership::{Location, Reason, Refusal};
 use crate::program::cli::{complain, print, show};
 
 /// The form of a report.
@@ -51,7 +51,7 @@
     }
 }
 
-fn clause(written: &Written, clause: usize) -> &Place {
+fn clause(written: &Written, clause: usize) -> &Location {
     written.clauses.get(clause).unwrap_or(&written.place)
 }
 
@@ -61,8 +61,8 @@
 }
 
 /// Shows what an expectation met, at the place of the clause that it did not meet.
-fn tell(place: &Place, message: String, help: Option<String>, source: &Source) {
-    let reason = Reason::Document { message, help };
+fn tell(place: &Location, message: String, help: Option<String>, source: &Source) {
+    let reason = Reason::InvalidDocument { message, help };
     show(&Refusal::new(reason, place.clone()), Some(source));
 }
 
@@ -96,7 +96,7 @@
     }
 }
 
-fn place(place: &Place) -> Value {
+fn place(place: &Location) -> Value {
     json!({"file": &*place.file, "line": place.line, "column": place.column})
 }
 
@@ -133,7 +133,7 @@
     for document in documents {
         match &document.written {
             Err(refusal) => {
-                unread.push(json!({"at": place(&refusal.place), "why": refusal.reason.to_string()}))
+                unread.push(json!({"at": place(&refusal.location), "why": refusal.reason.to_string()}))
             }
             Ok(written) => {
                 for (one, verdict) in written.iter().zip(verdicts_left.by_ref()) {
--- a/src/program/cli/expect/site.rs
+++ b/src/program/cli/expect/site.rs
@@ -9,7 +9,7 @@
 use crate::documents::read::Source;
 use crate::expect::Site;
 use crate::interface::ServerId;
-use crate::membership::Place;
+use crate::membership::Location;
 use crate::program::cli::{Verdict, check, complain, servers, source};
 use crate::program::site::Frame;
 use crate::protocol::config::Config;
@@ -32,7 +32,7 @@
     pub config: Source,
     pub value: Value,
     /// Where each server stands in its file.
-    pub places: BTreeMap<ServerId, Place>,
+    pub places: BTreeMap<ServerId, Location>,
 }
 
 /// Reads the site; what is wrong is shown.
@@ -45,11 +45,11 @@
     let frame = Frame { names: config.settings.clone().names(), settings, catalog };
     let site = frame.site(&files).ok_or(Verdict::Refused)?;
     let all = files.values().flat_map(|file| file.servers.iter());
-    let in_directory = |place: &Place| {
+    let in_directory = |place: &Location| {
         let file = directory.join(&*place.file).display().to_string();
-        Place { file: file.into(), ..place.clone() }
+        Location { file: file.into(), ..place.clone() }
     };
-    let places = all.map(|server| (server.number, in_directory(&server.id.place))).collect();
+    let places = all.map(|server| (server.number, in_directory(&server.id.location))).collect();
     Ok(Read { site, config: text, value, places })
 }
 
--- a/src/program/cli/mod.rs
+++ b/src/program/cli/mod.rs
@@ -159,5 +159,5 @@
 
 /// The path of a file within its directory.
 fn within(directory: &Path, refusal: &Refusal) -> PathBuf {
-    directory.join(&*refusal.place.file)
+    directory.join(&*refusal.location.file)
 }
--- a/src/program/cli/servers.rs
+++ b/src/program/cli/servers.rs
@@ -13,8 +13,8 @@
 use crate::documents::servers::{self, MANIFEST};
 use crate::interface::Role;
 use crate::membership::diff::{Change, diff};
-use crate::membership::guard::{Files, doubts};
-use crate::membership::intake::Rests;
+use crate::membership::guard::{FilesByZone, unconfirmed_losses};
+use crate::membership::intake::Intake;
 use crate::membership::refusal::role_name;
 use crate::membership::{Catalog, Reason, Refusal, check as agree};
 use crate::transport::list::files::Directory;
@@ -84,7 +84,7 @@
 }
 
 /// Where no configuration is given, what the files name is taken as known. Kinds then count as both roles.
-fn presumed(files: &Files) -> Catalog {
+fn presumed(files: &FilesByZone) -> Catalog {
     let kinds: BTreeSet<String> =
         files.values().flat_map(|file| &file.servers).map(|server| server.kind.value.clone()).collect();
     let kinds = kinds.into_iter().map(|kind| (kind, Role::Mixed)).collect();
@@ -93,9 +93,9 @@
 
 /// The files of a directory that are whole, and what is wrong with the others. Nothing waits here: a file
 /// without a seal counts as whole.
-fn load(directory: &Path, most_bytes: u64) -> (Files, Vec<Refusal>) {
+fn load(directory: &Path, most_bytes: u64) -> (FilesByZone, Vec<Refusal>) {
     let scan = Directory::new(directory, most_bytes).scan();
-    let found = Rests::default().look(0, &scan, false, 0);
+    let found = Intake::default().examine(0, &scan, false, 0);
     (found.files, found.refusals)
 }
 
@@ -118,7 +118,7 @@
     let catalog = catalog.unwrap_or(&presumed);
     refusals.extend(agree::contradictions(catalog, &files));
     if refusals.is_empty() {
-        refusals = doubts(catalog, &Files::new(), &files, 1.0);
+        refusals = unconfirmed_losses(catalog, &FilesByZone::new(), &files, 1.0);
     }
     let verdict = show_all(directory, &refusals);
     if files.is_empty() && verdict == Verdict::Good {
@@ -135,7 +135,7 @@
 }
 
 /// The files of a directory that would be taken; what is wrong is shown.
-pub(super) fn good(directory: &Path, catalog: &Catalog) -> Result<Files, Verdict> {
+pub(super) fn good(directory: &Path, catalog: &Catalog) -> Result<FilesByZone, Verdict> {
     let (files, mut refusals) = load(directory, MOST_BYTES);
     refusals.extend(agree::contradictions(catalog, &files));
     match show_all(directory, &refusals) {
@@ -177,9 +177,9 @@
         Change::Leaves { weight } => format!("leaves, weight {weight}"),
         Change::Drains(true) => "drains".into(),
         Change::Drains(false) => "drains no more".into(),
-        Change::Weighs { before, after } => format!("weight {before} -> {after}"),
+        Change::Weight { before, after } => format!("weight {before} -> {after}"),
         Change::Moves { before, after } => format!("address {before} -> {after}: a new process, cold"),
-        Change::Becomes(what) => format!("becomes {what}"),
+        Change::Attribute(what) => format!("becomes {what}"),
     }
 }
 
@@ -212,10 +212,10 @@
             "{:<7} {:<16} {:>9.2} -> {:<9.2} {:>15.1}% -> {:.1}%\n",
             role_name(share.role),
             share.zone,
-            share.before,
-            share.after,
-            share.part_before * 100.0,
-            share.part_after * 100.0
+            share.weight_before,
+            share.weight_after,
+            share.fraction_before * 100.0,
+            share.fraction_after * 100.0
         ));
     }
     let mut refusals = agree::contradictions(&catalog, &new);
@@ -224,7 +224,7 @@
             refusals.extend(agree::revision(file, held).err());
         }
     }
-    refusals.extend(doubts(&catalog, &old, &new, most));
+    refusals.extend(unconfirmed_losses(&catalog, &old, &new, most));
     show_all(after, &refusals)
 }
 
@@ -285,7 +285,7 @@
     Ok(())
 }
 
-fn table(files: &Files) {
+fn table(files: &FilesByZone) {
     print("data centre      server           kind         cell  weight  state       address\n");
     for (zone, file) in files {
         for server in &file.servers {
--- a/src/program/lists.rs
+++ b/src/program/lists.rs
@@ -10,7 +10,7 @@
 use crate::documents::operator::Watched;
 use crate::documents::read::Source;
 use crate::interface::Settings;
-use crate::membership::{Catalog, Listed, Membership, Reason};
+use crate::membership::{Catalog, ListedServer, Membership, Reason};
 use crate::protocol::platform::List;
 use crate::protocol::settings::{Links, Names};
 use crate::recovery::{Pacing, Times};
@@ -38,7 +38,7 @@
     /// Discovery's list, perhaps old.
     List(&'a List),
     /// What a document lists.
-    Servers(Vec<Listed>),
+    Servers(Vec<ListedServer>),
 }
 
 /// A pool's list to start.
@@ -154,7 +154,7 @@
     let scan = directory.scan();
     list.scanned(scan.clone()).await;
     let refused: Vec<_> = list.refused().to_vec();
-    let bad = refused.iter().any(|refusal| *refusal.reason != Reason::Resting);
+    let bad = refused.iter().any(|refusal| *refusal.reason != Reason::AwaitingQuietPeriod);
     match kept_age {
         Some((generation, age)) if bad && list.has_set() => {
             tracing::warn!(generation, age, "the files are refused: beginning from the set that was kept");
--- a/src/program/site.rs
+++ b/src/program/site.rs
@@ -6,18 +6,18 @@
 use crate::documents::read::Source;
 use crate::expect::{Site, Verdict, judge_while};
 use crate::interface::Settings;
-use crate::membership::guard::Files;
-use crate::membership::lives::Steps;
+use crate::membership::guard::FilesByZone;
+use crate::membership::lives::WeightSteps;
 use crate::membership::{Catalog, Input, Member, Membership, Output, Reason, Refusal, SetRules};
 use crate::protocol::settings::Names;
 
 /// Where no files are set up nothing is decided by these.
 pub(super) const NO_RULES: SetRules = SetRules {
-    rest: 0,
-    pace: 0,
-    drain: 0,
-    leave_at_most: 1.0,
-    steps: Steps { factor: 2.0, every: 1, first: 1.0 },
+    quiet_period: 0,
+    min_change_interval: 0,
+    drain_period: 0,
+    max_weight_loss: 1.0,
+    weight_steps: WeightSteps { factor: 2.0, interval: 1, initial_fraction: 1.0 },
     trial: None,
 };
 
@@ -31,7 +31,7 @@
 
 impl Frame {
     /// The site of a set, as the program would take it at its first start; none if it would not.
-    pub(super) fn site(&self, files: &Files) -> Option<Site> {
+    pub(super) fn site(&self, files: &FilesByZone) -> Option<Site> {
         let mut out = Vec::new();
         let set: Vec<Arc<_>> = files.values().cloned().collect();
         Membership::new(self.catalog.clone(), NO_RULES, true).handle(0, Input::Saved(0, set), &mut out);
@@ -50,7 +50,7 @@
 pub(super) fn against(
     frame: &Frame,
     documents: &[Source],
-    files: &Files,
+    files: &FilesByZone,
     go_on: &dyn Fn() -> bool,
 ) -> Vec<Refusal> {
     // A set that makes no site has been refused before.
@@ -74,5 +74,5 @@
         Ok(Some(Verdict::Undecided { clause, why })) => (clause, "stays undecided", why),
         Err(error) => (usize::MAX, "can't be tried", error.to_string()),
     };
-    Some(Refusal::new(Reason::Expectation { name, verdict, why }, at(clause)))
+    Some(Refusal::new(Reason::ExpectationNotMet { name, verdict, why }, at(clause)))
 }
--- a/src/transport/list/files.rs
+++ b/src/transport/list/files.rs
@@ -18,7 +18,7 @@
 use crate::documents::read::Source;
 use crate::documents::seal;
 use crate::documents::servers::{self, MANIFEST};
-use crate::membership::{Digest, Manifest, Place, Reason, Refusal, Scan, SetFile};
+use crate::membership::{Digest, Location, Manifest, Reason, Refusal, Scan, SetFile};
 
 /// The ending of files that are read.
 const ENDING: &str = "kdl";
@@ -56,7 +56,7 @@
         let names = match self.names() {
             Ok(names) => names,
             Err(error) => {
-                let place = Place::whole(self.path.display().to_string());
+                let place = Location::whole_file(self.path.display().to_string());
                 scan.files.push(Err(Refusal::new(unreadable(&error), place)));
                 return scan;
             }
@@ -95,7 +95,7 @@
 
 /// Reads one file whole.
 pub fn read(path: &Path, name: &str, most_bytes: u64) -> Result<Source, Refusal> {
-    let refuse = |reason| Refusal::new(reason, Place::whole(name));
+    let refuse = |reason| Refusal::new(reason, Location::whole_file(name));
     let bytes = || -> io::Result<Vec<u8>> {
         // A pipe would hold the thread up for good.
         if !fs::metadata(path)?.is_file() {
--- a/src/transport/list/mod.rs
+++ b/src/transport/list/mod.rs
@@ -16,8 +16,8 @@
 use super::hub::message::{Hub, Message};
 use crate::documents::servers::seconds;
 use crate::interface::*;
-use crate::membership::guard::Files;
-use crate::membership::{Input, Listed, Membership, Output, Reason, Refusal, Scan, SetFile};
+use crate::membership::guard::FilesByZone;
+use crate::membership::{Input, ListedServer, Membership, Output, Reason, Refusal, Scan, SetFile};
 use crate::protocol::platform::List;
 use crate::protocol::settings::Names;
 use crate::routing::PoolId;
@@ -52,7 +52,7 @@
 
 /// Tries a set of files: what speaks against it, or nothing. It takes its time, and ends early once the second
 /// argument says no; what it says then does not count.
-pub type Try = Arc<dyn Fn(&Files, &dyn Fn() -> bool) -> Vec<Refusal> + Send + Sync>;
+pub type Try = Arc<dyn Fn(&FilesByZone, &dyn Fn() -> bool) -> Vec<Refusal> + Send + Sync>;
 
 /// A trial that runs on a thread of its own.
 struct Running {
@@ -128,7 +128,7 @@
     }
 
     /// The same for servers that a document lists.
-    pub async fn known_servers(&mut self, listed: Vec<Listed>) {
+    pub async fn known_servers(&mut self, listed: Vec<ListedServer>) {
         self.feed(Input::Discovery(ListScope::Cached, listed)).await;
     }
 
@@ -156,7 +156,7 @@
 
     async fn tried(&mut self, number: u64, found: Result<Vec<Refusal>, JoinError>) {
         match found {
-            Ok(refusals) => self.feed(Input::Tried(number, refusals)).await,
+            Ok(refusals) => self.feed(Input::TrialEnded(number, refusals)).await,
             // It counts as one that does not end: the membership knows what follows.
             Err(error) => tracing::error!(%error, "a trial of servers has broken off"),
         }
@@ -197,11 +197,15 @@
     }
 
     /// Discovery's members; those that name what the settings don't know are passed over.
-    fn listed(&self, list: &List) -> Vec<Listed> {
+    fn listed(&self, list: &List) -> Vec<ListedServer> {
         let started = |ms| self.clock.at_unix_ms(ms);
         let listed = |member: &crate::protocol::platform::Member| {
             let entry = member.entry(&self.names, started)?;
-            Some(Listed { entry, name: member.id.as_str().into(), address: member.host_port.as_str().into() })
+            Some(ListedServer {
+                entry,
+                name: member.id.as_str().into(),
+                address: member.host_port.as_str().into(),
+            })
         };
         list.members.iter().filter_map(listed).collect()
     }
@@ -260,11 +264,11 @@
                     }
                 }
                 // Nothing is wrong with it: it has to stand for a while.
-                Output::Refuse(refusal) if *refusal.reason == Reason::Resting => {
+                Output::Refuse(refusal) if *refusal.reason == Reason::AwaitingQuietPeriod => {
                     tracing::info!(target: "birchspur::membership", pool = self.pool.0, "waits: {refusal}");
                 }
                 Output::Refuse(refusal) => {
-                    let place = &refusal.place;
+                    let place = &refusal.location;
                     tracing::warn!(
                         target: "birchspur::membership",
                         pool = self.pool.0,
@@ -277,7 +281,7 @@
                 Output::Warn(refusal) => {
                     tracing::warn!(target: "birchspur::membership", pool = self.pool.0, "{refusal}");
                 }
-                Output::Try(number, files) => {
+                Output::StartTrial(number, files) => {
                     if let Some(guard) = self.guard.clone() {
                         let stop = Arc::new(AtomicBool::new(false));
                         let stopped = stop.clone();
@@ -291,7 +295,7 @@
                         running.stop.store(true, Ordering::Relaxed);
                     }
                 }
-                Output::Settled => {
+                Output::RefusalsCleared => {
                     tracing::info!(target: "birchspur::membership", pool = self.pool.0, "files are well again");
                 }
             }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -5,17 +5,17 @@
 
 use milletseam::documents::{Source, seal, servers};
 use milletseam::interface::*;
-use milletseam::membership::lives::Steps;
+use milletseam::membership::lives::WeightSteps;
 use milletseam::membership::*;
 use proptest::prelude::*;
 
 const S: Micros = 1_000_000;
 const RULES: SetRules = SetRules {
-    rest: 2 * S,
-    pace: S / 5,
-    drain: 10 * S,
-    leave_at_most: 0.5,
-    steps: Steps { factor: 1.5, every: S, first: 0.25 },
+    quiet_period: 2 * S,
+    min_change_interval: S / 5,
+    drain_period: 10 * S,
+    max_weight_loss: 0.5,
+    weight_steps: WeightSteps { factor: 1.5, interval: S, initial_fraction: 0.25 },
     trial: None,
 };
 
@@ -110,8 +110,8 @@
                 }
                 Output::Save(_) => self.saved += 1,
                 Output::Refuse(refusal) => self.refused.push(refusal),
-                Output::Settled => self.refused.clear(),
-                Output::Try(number, files) => {
+                Output::RefusalsCleared => self.refused.clear(),
+                Output::StartTrial(number, files) => {
                     assert_eq!(self.trial, None, "one trial at a time");
                     self.trial = Some((number, files["nairobi"].revision.value));
                 }
@@ -169,18 +169,18 @@
 fn contradictions_refuse_a_set_whole_and_name_the_place() {
     let with = |line: &'static str| [NAIROBI[0], NAIROBI[1], NAIROBI[2], NAIROBI[3], line];
     let cases: [(&str, Expected); 9] = [
-        ("r1 9 reader 0 1", |r| matches!(r, Reason::TwiceId(id) if id == "r1")),
+        ("r1 9 reader 0 1", |r| matches!(r, Reason::DuplicateId(id) if id == "r1")),
         (
             "r9 1 reader 0 1",
-            |r| matches!(r, Reason::TwiceAddress { one, other, .. } if one == "r1" && other == "r9"),
+            |r| matches!(r, Reason::DuplicateAddress { first, second, .. } if first == "r1" && second == "r9"),
         ),
-        ("r9 9 raeder 0 1", |r| matches!(r, Reason::Unknown { nearest: Some(n), .. } if n == "reader")),
+        ("r9 9 raeder 0 1", |r| matches!(r, Reason::UnknownName { nearest: Some(n), .. } if n == "reader")),
         ("r9 9 reader 7 1", |r| matches!(r, Reason::UnknownCell(7))),
-        ("r9 9 reader 1 1", |r| matches!(r, Reason::CellTwice { cell: 1, .. })),
-        ("r9 9 reader 0 -1", |r| matches!(r, Reason::Weight(w) if w == "-1")),
-        ("r9 9 reader 0 #nan", |r| matches!(r, Reason::Weight(w) if w == "NaN")),
-        ("r9 9 reader 0 #inf", |r| matches!(r, Reason::Weight(w) if w == "inf")),
-        ("r9 9 reader 0 1e6", |r| matches!(r, Reason::Weight(_))),
+        ("r9 9 reader 1 1", |r| matches!(r, Reason::CellInTwoZones { cell: 1, .. })),
+        ("r9 9 reader 0 -1", |r| matches!(r, Reason::WeightOutOfRange(w) if w == "-1")),
+        ("r9 9 reader 0 #nan", |r| matches!(r, Reason::WeightOutOfRange(w) if w == "NaN")),
+        ("r9 9 reader 0 #inf", |r| matches!(r, Reason::WeightOutOfRange(w) if w == "inf")),
+        ("r9 9 reader 0 1e6", |r| matches!(r, Reason::WeightOutOfRange(_))),
     ];
     for (line, expected) in cases {
         let mut stand = Stand::serving();
@@ -188,7 +188,7 @@
         let refusals = stand.membership.refused();
         let found = refusals.iter().find(|refusal| expected(&refusal.reason));
         let found = found.unwrap_or_else(|| panic!("{line}: {refusals:?}"));
-        assert!(found.place.line >= 4 && found.place.column > 1, "{line}: {}", found.place);
+        assert!(found.location.line >= 4 && found.location.column > 1, "{line}: {}", found.location);
         assert_eq!((stand.published, stand.member("r9")), (1, None), "{line}: nothing of it is taken");
     }
 }
@@ -198,7 +198,8 @@
     let mut stand = Stand::serving();
     stand.both(&text("nairoby", "revision=1", &NAIROBI), &text("mombasa", "revision=1", &MOMBASA));
     let refused = stand.membership.refused();
-    let near = |r: &Refusal| matches!(&*r.reason, Reason::Unknown { nearest: Some(n), .. } if n == "nairobi");
+    let near =
+        |r: &Refusal| matches!(&*r.reason, Reason::UnknownName { nearest: Some(n), .. } if n == "nairobi");
     assert!(refused.iter().any(near), "{refused:?}");
     let second = text("nairobi", "revision=2", &NAIROBI[..3]);
     let files = vec![
@@ -207,7 +208,7 @@
         file("mombasa.kdl", &text("mombasa", "revision=1", &MOMBASA)),
     ];
     stand.feed(Input::Scan(Scan { files, manifest: None }));
-    assert!(matches!(stand.reason(), Reason::TwoFiles(zone) if zone == "nairobi"));
+    assert!(matches!(stand.reason(), Reason::DuplicateZone(zone) if zone == "nairobi"));
     assert_eq!(stand.published, 1);
 }
 
@@ -221,9 +222,9 @@
     stand.nairobi("revision=5", &NAIROBI);
     assert_eq!(stand.reason(), Reason::SameRevision(5));
     stand.nairobi("revision=4", &NAIROBI);
-    assert_eq!(stand.reason(), Reason::Old { found: 4, held: 5 });
+    assert_eq!(stand.reason(), Reason::OlderRevision { revision: 4, in_service: 5 });
     stand.nairobi("revision=4 rollback-of=3", &NAIROBI);
-    assert_eq!(stand.reason(), Reason::Rollback { named: 3, held: 5 });
+    assert_eq!(stand.reason(), Reason::RollbackMismatch { named: 3, in_service: 5 });
     assert_eq!(stand.published, 2);
     stand.nairobi("revision=4 rollback-of=5", &NAIROBI);
     assert_eq!((stand.published, stand.state("w2")), (3, Some(ServerState::Ready)));
@@ -236,16 +237,19 @@
     let zero: Vec<&str> = zero.iter().map(String::as_str).collect();
     type Case<'a> = (&'a [&'a str], Expected);
     let cases: [Case; 3] = [
-        (&NAIROBI[2..], |r| matches!(r, Reason::NoneLeft { zone, role: Role::Reader } if zone == "nairobi")),
-        (&NAIROBI[..2], |r| matches!(r, Reason::NoneLeft { role: Role::Writer, .. })),
-        (&zero, |r| matches!(r, Reason::NoneLeft { role: Role::Reader, .. })),
+        (
+            &NAIROBI[2..],
+            |r| matches!(r, Reason::ZoneWithoutRole { zone, role: Role::Reader } if zone == "nairobi"),
+        ),
+        (&NAIROBI[..2], |r| matches!(r, Reason::ZoneWithoutRole { role: Role::Writer, .. })),
+        (&zero, |r| matches!(r, Reason::ZoneWithoutRole { role: Role::Reader, .. })),
     ];
     for (lines, expected) in cases {
         let mut stand = Stand::serving();
         stand.nairobi("revision=2", lines);
         let refused = stand.membership.refused().to_vec();
         assert!(refused.iter().any(|r| expected(&r.reason)), "{refused:?}");
-        assert!(refused.iter().all(|r| r.reason.can_be_meant() && r.place.line == 1), "{refused:?}");
+        assert!(refused.iter().all(|r| r.reason.can_be_confirmed() && r.location.line == 1), "{refused:?}");
         assert_eq!(stand.published, 1);
         let meant = |revision: u64| {
             let body = text("nairobi", "revision=2", lines);
@@ -254,7 +258,11 @@
         };
         let mombasa = text("mombasa", "revision=1", &MOMBASA);
         stand.both(&meant(1), &mombasa);
-        assert_eq!(stand.reason(), Reason::Meant { named: 1, found: 2 }, "an old word does not count");
+        assert_eq!(
+            stand.reason(),
+            Reason::ConfirmationMismatch { named: 1, revision: 2 },
+            "an old word does not count"
+        );
         stand.both(&meant(2), &mombasa);
         assert_eq!((stand.published, stand.membership.refused().len()), (2, 0));
     }
@@ -266,7 +274,7 @@
     let less = ["r1 1 reader 0 0.1", "w1 3 writer-a 0 1", "w2 4 writer-b 0 1"];
     let mombasa = ["r3 5 reader 1 0.5", "r4 6 reader 1 0.3", "w3 7 writer-a 1 1", "w4 8 writer-b 1 1"];
     stand.both(&text("nairobi", "revision=2", &less), &text("mombasa", "revision=2", &mombasa));
-    let share = |r: &Refusal| matches!(*r.reason, Reason::Leaving { role: Role::Reader, share, .. } if (share - 0.775).abs() < 1e-9);
+    let share = |r: &Refusal| matches!(*r.reason, Reason::ExcessiveWeightLoss { role: Role::Reader, share, .. } if (share - 0.775).abs() < 1e-9);
     assert!(stand.membership.refused().iter().any(share), "{:?}", stand.membership.refused());
     assert_eq!(stand.published, 1);
     // The same in two steps of less is believed.
@@ -384,7 +392,7 @@
     let mut stand = Stand::serving();
     let mombasa = text("mombasa", "revision=1", &MOMBASA);
     stand.feed(Input::Scan(Scan { files: vec![file("mombasa.kdl", &mombasa)], manifest: None }));
-    assert_eq!(stand.reason(), Reason::Missing("nairobi".into()));
+    assert_eq!(stand.reason(), Reason::FileMissing("nairobi".into()));
     stand.feed(Input::Scan(Scan::default()));
     stand.pass(60 * S);
     assert_eq!((stand.published, stand.state("r1")), (1, Some(ServerState::Ready)));
@@ -418,13 +426,13 @@
     stand.pass(S);
     // Without the manifest the files are not one by one's again.
     stand.both(&text("nairobi", "revision=3", &NAIROBI), new[1]);
-    assert_eq!((stand.reason(), stand.published), (Reason::NoManifest, 2));
+    assert_eq!((stand.reason(), stand.published), (Reason::ManifestMissing, 2));
 }
 
 #[test]
 fn of_file_and_discovery_the_stricter_state_holds_and_the_file_names_the_members() {
     let mut stand = Stand::serving();
-    let listed = |id: &str, state| Listed {
+    let listed = |id: &str, state| ListedServer {
         entry: ServerEntry {
             id: milletseam::protocol::platform::server_number(id),
             state,
@@ -467,7 +475,7 @@
     stand.both("serv", "");
     assert_eq!((stand.published, stand.membership.refused().len()), (1, 2));
     stand.both(&text("nairobi", "revision=6", &NAIROBI), &text("mombasa", "revision=8", &MOMBASA[..3]));
-    assert_eq!((stand.published, stand.reason()), (2, Reason::Old { found: 6, held: 7 }));
+    assert_eq!((stand.published, stand.reason()), (2, Reason::OlderRevision { revision: 6, in_service: 7 }));
 }
 
 /// What may happen to a membership, at random.
@@ -495,8 +503,9 @@
 
 // ---- trials of sets before they are taken
 
-fn tried(late: Late) -> Stand {
-    let mut stand = Stand::by(SetRules { trial: Some(TrialRules { within: 3 * S, late }), ..RULES });
+fn tried(on_timeout: TimeoutAction) -> Stand {
+    let mut stand =
+        Stand::by(SetRules { trial: Some(TrialRules { time_limit: 3 * S, on_timeout }), ..RULES });
     stand.nairobi("revision=1", &NAIROBI);
     assert_eq!((stand.published, stand.trial), (0, Some((1, 1))), "the first set too is tried");
     stand.found(&[]);
@@ -509,7 +518,7 @@
     /// The trial that was asked for ends.
     fn found(&mut self, against: &[Refusal]) {
         let (number, _) = self.trial.take().expect("a trial");
-        self.feed(Input::Tried(number, against.to_vec()));
+        self.feed(Input::TrialEnded(number, against.to_vec()));
     }
 
     /// Nairobi's revision in service.
@@ -519,14 +528,15 @@
 }
 
 fn objection() -> Refusal {
-    let reason = Reason::Expectation { name: "x".into(), verdict: "fails", why: "it went to r9".into() };
-    Refusal::new(reason, Place::whole("expectations.kdl"))
+    let reason =
+        Reason::ExpectationNotMet { name: "x".into(), verdict: "fails", why: "it went to r9".into() };
+    Refusal::new(reason, Location::whole_file("expectations.kdl"))
 }
 
 /// Failure: a set that breaks an expectation goes live, or is tried over and over.
 #[test]
 fn a_set_that_fails_its_trial_is_refused_once_and_a_corrected_one_is_taken() {
-    let mut stand = tried(Late::Refuse);
+    let mut stand = tried(TimeoutAction::Refuse);
     stand.nairobi("revision=2", &NAIROBI);
     assert_eq!(stand.trial, Some((2, 2)));
     stand.found(&[objection()]);
@@ -543,7 +553,7 @@
 /// Failure: while a long trial runs, newer sets are lost, or the older one is published after the newer.
 #[test]
 fn what_comes_during_a_trial_is_tried_after_it_and_only_the_newest() {
-    let mut stand = tried(Late::Refuse);
+    let mut stand = tried(TimeoutAction::Refuse);
     stand.nairobi("revision=2", &NAIROBI);
     stand.nairobi("revision=3", &NAIROBI);
     stand.nairobi("revision=4", &NAIROBI);
@@ -559,20 +569,20 @@
 /// Failure: a trial that hangs holds up every later change for good, or its late word still counts.
 #[test]
 fn a_trial_that_does_not_end_has_the_outcome_that_was_set() {
-    for late in [Late::Take, Late::Refuse] {
-        let mut stand = tried(late);
+    for on_timeout in [TimeoutAction::Accept, TimeoutAction::Refuse] {
+        let mut stand = tried(on_timeout);
         stand.nairobi("revision=2", &NAIROBI);
         let (number, _) = stand.trial.expect("a trial");
         stand.pass(3 * S - 1);
         assert_eq!((stand.revision(), stand.trial.is_some()), (1, true));
         stand.pass(1);
         assert_eq!(stand.trial, None, "it is stopped");
-        let (revision, warned) = if late == Late::Take { (2, 1) } else { (1, 0) };
+        let (revision, warned) = if on_timeout == TimeoutAction::Accept { (2, 1) } else { (1, 0) };
         assert_eq!((stand.revision(), stand.warned), (revision, warned));
-        if late == Late::Refuse {
-            assert_eq!(stand.reason(), Reason::TrialLate { within: 3 * S, taken: false });
+        if on_timeout == TimeoutAction::Refuse {
+            assert_eq!(stand.reason(), Reason::TrialTimedOut { time_limit: 3 * S, accepted: false });
         }
-        stand.feed(Input::Tried(number, Vec::new()));
+        stand.feed(Input::TrialEnded(number, Vec::new()));
         assert_eq!(stand.revision(), revision);
     }
 }
@@ -591,7 +601,7 @@
     /// set that was not refused is in service).
     #[test]
     fn any_sequence_of_sets_and_trials_keeps_them(
-        late in prop_oneof![Just(Late::Take), Just(Late::Refuse)],
+        on_timeout in prop_oneof![Just(TimeoutAction::Accept), Just(TimeoutAction::Refuse)],
         steps in prop::collection::vec(
             prop_oneof![
                 (2u64..40).prop_map(Tried::Set),
@@ -601,7 +611,7 @@
             1..60,
         ),
     ) {
-        let mut stand = tried(late);
+        let mut stand = tried(on_timeout);
         let (mut failed, mut held) = (BTreeSet::new(), BTreeSet::from([1]));
         let mut newest = 1;
         for step in steps {
@@ -618,7 +628,7 @@
                 Tried::Pass(span) => stand.pass(span),
                 _ => {}
             }
-            let known = if late == Late::Take { &mut held } else { &mut failed };
+            let known = if on_timeout == TimeoutAction::Accept { &mut held } else { &mut failed };
             known.extend(stand.overdue.drain(..));
             let revision = stand.revision();
             prop_assert!(held.contains(&revision), "tried: {} in {:?}", revision, held);
@@ -718,11 +728,11 @@
                 Step::Remove(zone) => drop(texts.remove(&zone)),
                 Step::Discover { complete, servers } => {
                     let states = [ServerState::Ready, ServerState::Draining, ServerState::Gone];
-                    let listed: Vec<Listed> = servers.iter().map(|(n, state)| {
+                    let listed: Vec<ListedServer> = servers.iter().map(|(n, state)| {
                         let name = format!("s{n}");
                         let id = milletseam::protocol::platform::server_number(&name);
                         let entry = ServerEntry { id, state: states[usize::from(*state)], ..ServerEntry::plain() };
-                        Listed { entry, name: name.into(), address: "10.9.9.9:1".into() }
+                        ListedServer { entry, name: name.into(), address: "10.9.9.9:1".into() }
                     }).collect();
                     if complete {
                         gone.clear();
@@ -745,7 +755,7 @@
             let Some(latest) = stand.latest.clone() else { continue };
             let accepted = stand.membership.accepted();
             prop_assert!(check::contradictions(&catalog(), accepted).is_empty(), "sound");
-            let declared: BTreeMap<ServerId, &Declared> =
+            let declared: BTreeMap<ServerId, &DeclaredServer> =
                 accepted.values().flat_map(|f| &f.servers).map(|s| (s.number, s)).collect();
             for member in &latest.members {
                 let entry = member.entry;
@@ -767,7 +777,7 @@
                     let drained = declared.contains_key(&was.entry.id) || latest.cause == Cause::Time;
                     prop_assert!(is.is_some() || gone.contains(&was.entry.id) || drained, "drained");
                     if let Some(is) = is.filter(|is| is.entry.started == was.entry.started && latest.cause == Cause::Files) {
-                        let most = (was.entry.weight * RULES.steps.factor).max(10.0 * RULES.steps.first);
+                        let most = (was.entry.weight * RULES.weight_steps.factor).max(10.0 * RULES.weight_steps.initial_fraction);
                         prop_assert!(is.entry.weight <= most.max(was.entry.weight), "modest");
                     }
                 }
