--- a/src/membership/refusal.rs
+++ b/src/membership/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a set, or a file of it, is not taken: typed, with its place and a remedy.
+//! The reasons why a set, or a file of it, is not accepted, each with its location and a remedy.
 
 use std::fmt;
 
@@ -7,127 +7,127 @@
 use super::set::{Digest, Location};
 use crate::interface::Role;
 
-/// What is wrong.
+/// The reason why a file or a set is not accepted.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum Reason {
-    /// The file could not be read at all.
+    /// The file or directory can't be read.
     #[error("can't be read: {0}")]
     Unreadable(String),
-    /// It is larger than a file may be.
+    /// The file is larger than this limit in bytes.
     #[error("is larger than {0} bytes")]
     TooLarge(u64),
-    /// It is no text.
+    /// The file is not UTF-8 text.
     #[error("is not UTF-8")]
     NotUtf8,
-    /// It is no document of the kind that is expected.
+    /// The file is not a valid document of the expected kind.
     #[error("{message}")]
     InvalidDocument {
         /// What is wrong.
         message: String,
-        /// What to write in its place.
+        /// What to write instead.
         help: Option<String>,
     },
-    /// What stands before the seal is not what was sealed.
-    #[error("the seal does not fit: {0}")]
+    /// The seal is malformed, misplaced or does not match the content before it.
+    #[error("the seal is not valid: {0}")]
     InvalidSeal(String),
-    /// A file without a seal has to rest before it is taken.
-    #[error("has no seal, and is taken when it has rested")]
+    /// A file without a seal has to stay unchanged for the quiet period before it is accepted.
+    #[error("has no seal; it is accepted once it has not changed for the time set by 'rest'")]
     AwaitingQuietPeriod,
-    /// The file in service has a seal, this one has none: it may have been cut off just before it.
-    #[error("the file in service has a seal, this one has lost it")]
+    /// The file in service has a seal and this one has none: it may have been truncated just before the seal.
+    #[error("the file in service has a seal, but this one has none")]
     SealLost,
-    /// A file has gone; that is no instruction.
-    #[error("the file of data centre '{0}' is missing; its servers stay")]
+    /// The file of a data centre in service is missing, which is no instruction to remove its servers.
+    #[error("the file of data centre '{0}' is missing; its servers stay in service")]
     FileMissing(String),
-    /// The manifest has gone; that is no instruction either.
-    #[error("the manifest is missing; all servers stay")]
+    /// The manifest is missing, which is no instruction to remove servers either.
+    #[error("the manifest is missing; all servers stay in service")]
     ManifestMissing,
-    /// The manifest names a file that is not there.
-    #[error("the manifest names '{0}', which is not there or can't be read")]
+    /// The manifest names a file that does not exist or could not be read.
+    #[error("the manifest names '{0}', which does not exist or can't be read")]
     ManifestFileMissing(String),
-    /// A file is not the one that the manifest means.
-    #[error("'{file}' has the digest {digest}, the manifest wants {expected}")]
+    /// A file has another digest than the manifest states.
+    #[error("'{file}' has the digest {digest}, but the manifest expects {expected}")]
     DigestMismatch {
-        /// The file.
+        /// The file's name.
         file: String,
-        /// Its digest.
+        /// The file's digest.
         digest: Digest,
-        /// The manifest's.
+        /// The digest that the manifest states.
         expected: Digest,
     },
-    /// Two files declare one data centre.
+    /// Two files declare the same data centre.
     #[error("data centre '{0}' is declared by two files")]
     DuplicateZone(String),
-    /// One id stands twice.
-    #[error("the id '{0}' stands twice")]
+    /// Two servers have the same id.
+    #[error("the id '{0}' is declared twice")]
     DuplicateId(String),
-    /// Two ids have one number.
-    #[error("'{0}' and '{1}' have the same number; one of them needs another id")]
+    /// The numbers computed from two ids are equal.
+    #[error("the ids '{0}' and '{1}' have the same server number; one of the servers needs another id")]
     NumberCollision(String, String),
-    /// One address stands under two ids.
-    #[error("the address {address} is that of '{first}' and of '{second}'")]
+    /// Two servers have the same address.
+    #[error("the address {address} is declared for '{first}' and for '{second}'")]
     DuplicateAddress {
         /// The address.
         address: String,
-        /// One id.
+        /// The id of the server that is declared first.
         first: String,
-        /// The other.
+        /// The id of the other server.
         second: String,
     },
-    /// A name is not among the settings.
+    /// The settings do not define a name.
     #[error("there is no {what} '{name}'")]
     UnknownName {
-        /// Zone or kind.
+        /// What the name stands for: a zone or a kind.
         what: &'static str,
-        /// The name.
+        /// The unknown name.
         name: String,
-        /// A known name that is close.
+        /// A known name that is similar.
         nearest: Option<String>,
     },
-    /// The cell is not among those that the operator's document lists.
+    /// The operator's document does not list this cell.
     #[error("there is no cell {0}")]
     UnknownCell(u32),
-    /// A cell can't lie in two data centres.
-    #[error("cell {cell} lies in '{first_zone}' and in '{second_zone}'")]
+    /// A cell is declared in two data centres, but belongs to exactly one.
+    #[error("cell {cell} is declared in data centre '{first_zone}' and in '{second_zone}'")]
     CellInTwoZones {
         /// The cell.
         cell: u32,
-        /// One data centre.
+        /// The data centre in which the cell is declared first.
         first_zone: String,
-        /// The other.
+        /// The other data centre.
         second_zone: String,
     },
-    /// A weight that can't be.
+    /// A weight is negative, not a number or larger than [`MAX_WEIGHT`].
     #[error("the weight {0} is not between 0 and {MAX_WEIGHT}")]
     WeightOutOfRange(String),
-    /// An older revision, and no word of a roll-back.
-    #[error("revision {revision} is older than {in_service}, which is in service")]
+    /// The file's revision is older than the one in service, and the file does not declare a roll-back.
+    #[error("revision {revision} is older than revision {in_service}, which is in service")]
     OlderRevision {
-        /// Of the file.
+        /// The file's revision.
         revision: u64,
-        /// In service.
+        /// The revision in service.
         in_service: u64,
     },
-    /// The same revision with another content.
-    #[error("revision {0} is in service with another content")]
+    /// The revision is already in service with different content.
+    #[error("revision {0} is already in service with different content")]
     SameRevision(u64),
-    /// A roll-back of a revision that is not in service.
-    #[error("it rolls revision {named} back, but {in_service} is in service")]
+    /// The file rolls back a revision that is not in service.
+    #[error("the file rolls back revision {named}, but revision {in_service} is in service")]
     RollbackMismatch {
-        /// Named by the file.
+        /// The revision that the file rolls back.
         named: u64,
-        /// In service.
+        /// The revision in service.
         in_service: u64,
     },
-    /// `meant` speaks of another revision.
-    #[error("'meant' names revision {named}, the file is revision {revision}")]
+    /// The confirmation (`meant`) names another revision than the file's.
+    #[error("'meant' names revision {named}, but the file is revision {revision}")]
     ConfirmationMismatch {
-        /// Named by `meant`.
+        /// The revision that `meant` names.
         named: u64,
-        /// Of the file.
+        /// The file's revision.
         revision: u64,
     },
-    /// Nobody would be left for a role in a data centre.
+    /// A data centre would have no server of a role with a weight above 0.
     #[error("data centre '{zone}' would have no {}", role_name(*role))]
     ZoneWithoutRole {
         /// The data centre.
@@ -135,12 +135,12 @@
         /// The role.
         role: Role,
     },
-    /// All servers of a role would have the weight 0.
+    /// No server of a role would have a weight above 0 in any data centre.
     #[error("no {} would have a weight above 0", role_name(*.0))]
     RoleWithoutWeight(Role),
-    /// Too much would leave at once.
+    /// More of a role's weight would leave at once than is allowed without a confirmation.
     #[error(
-        "{:.0}% of the weight of all {}s would leave at once; {:.0}% may",
+        "{:.0}% of the weight of all {}s would leave at once; at most {:.0}% may",
         share * 100.0,
         role_name(*role),
         limit * 100.0
@@ -148,39 +148,40 @@
     ExcessiveWeightLoss {
         /// The role.
         role: Role,
-        /// The part of its weight that would leave, from 0 to 1.
+        /// The fraction of its weight that would leave, from 0 to 1.
         share: f64,
-        /// The part that may.
+        /// The largest fraction that may leave at once.
         limit: f64,
     },
-    /// An expectation does not hold with it.
+    /// The set fails one of its expectations.
     #[error("the expectation '{name}' {verdict}: {why}")]
     ExpectationNotMet {
-        /// Its name.
+        /// The name of the expectation.
         name: String,
-        /// That it fails, or stays undecided.
+        /// The verdict: that it fails, stays undecided or can't be tried.
         verdict: &'static str,
-        /// What was met.
+        /// What the trial found.
         why: String,
     },
-    /// Its expectations were not tried in time.
+    /// The trial of a set's expectations did not end in time.
     #[error(
-        "its expectations were not settled within {} ms; it is {}",
+        "the trial of the expectations did not end within {} ms; the set is {}",
         time_limit / 1_000,
-        if *accepted { "taken all the same" } else { "refused" }
+        if *accepted { "accepted nevertheless" } else { "refused" }
     )]
     TrialTimedOut {
-        /// The time that a trial may last, in microseconds.
+        /// How long a trial may last, in microseconds.
         time_limit: u64,
-        /// It is taken, not refused.
+        /// True if the set is accepted nevertheless, false if it is refused.
         accepted: bool,
     },
 }
 
-/// The largest weight of a server. A rack of servers behind one address weighs some tens; more is a mistake.
+/// The largest weight of a server. A rack of servers behind one address has a weight of some tens; a weight
+/// above the limit is a mistake.
 pub const MAX_WEIGHT: f64 = 1000.0;
 
-/// A role as operators say it.
+/// Returns the name of a role as it is shown to operators.
 pub fn role_name(role: Role) -> &'static str {
     match role {
         Role::Reader => "reader",
@@ -190,52 +191,53 @@
 }
 
 impl Reason {
-    /// What the operator can do about it.
+    /// Returns what the operator can do about the reason, if there is advice to give.
     pub fn remedy(&self) -> Option<String> {
         let text = match self {
             Reason::InvalidDocument { help, .. } => return help.clone(),
             Reason::UnknownName { nearest, .. } => {
                 return nearest.as_ref().map(|name| format!("did you mean '{name}'?"));
             }
-            Reason::InvalidSeal(_) => "write it again whole, then `birchspur servers seal FILE`",
+            Reason::InvalidSeal(_) => "write the file again in full, then run `birchspur servers seal FILE`",
             Reason::SealLost | Reason::AwaitingQuietPeriod => {
-                "`birchspur servers seal FILE` lets it be taken at once"
+                "run `birchspur servers seal FILE` to have it accepted at once"
             }
             Reason::FileMissing(_) => {
-                "to take a data centre out, leave its file with no servers and a 'meant'"
+                "to remove a data centre, keep its file without servers and with a 'meant'"
+            }
+            Reason::ManifestMissing => {
+                "restore it; without a manifest at the start, each file changes by itself"
             }
-            Reason::ManifestMissing => "put it back; without one at the start, each file changes by itself",
             Reason::ManifestFileMissing(_) | Reason::DigestMismatch { .. } => {
-                "put all files in place, then `birchspur servers seal --manifest DIR`"
+                "put all files in place, then run `birchspur servers seal --manifest DIR`"
             }
-            Reason::DuplicateZone(_) => "leave one file a data centre",
+            Reason::DuplicateZone(_) => "keep only one file for each data centre",
             Reason::OlderRevision { .. } => {
-                "raise 'revision', or say 'rollback-of' with the revision in service"
+                "raise 'revision', or set 'rollback-of' to the revision in service"
             }
             Reason::SameRevision(_) => "raise 'revision' with each change",
-            Reason::RollbackMismatch { .. } => "name the revision that is in service in 'rollback-of'",
+            Reason::RollbackMismatch { .. } => "set 'rollback-of' to the revision in service",
             Reason::ConfirmationMismatch { .. } => {
-                "'meant' holds for one revision: name this one, or take it out"
+                "'meant' holds for one revision only: name the file's revision, or remove 'meant'"
             }
             Reason::ZoneWithoutRole { .. }
             | Reason::RoleWithoutWeight(_)
             | Reason::ExcessiveWeightLoss { .. } => {
-                "if it is so, add `meant revision=N reason=\"...\"` with the file's revision"
+                "if this is intended, add `meant revision=N reason=\"...\"` with the file's revision"
             }
             Reason::ExpectationNotMet { .. } => {
                 "correct the files or the expectation; `birchspur expect` tries them by hand"
             }
-            Reason::TrialTimedOut { .. } => {
-                "give 'within' more time, or ask fewer requests of the expectations"
-            }
-            Reason::TooLarge(_) => "split it by data centre",
-            Reason::UnknownCell(_) => "list it under 'cells' in the operator's document",
+            Reason::TrialTimedOut { .. } => "raise 'within', or use fewer requests in the expectations",
+            Reason::TooLarge(_) => "split the file by data centre",
+            Reason::UnknownCell(_) => "list the cell under 'cells' in the operator's document",
             _ => return None,
         };
         Some(text.to_string())
     }
 
-    /// The set agrees with itself but is not believed: the operator can say that it is meant.
+    /// Returns true if the set is consistent and is only held back until the operator confirms that it is
+    /// intended.
     pub fn can_be_confirmed(&self) -> bool {
         matches!(
             self,
@@ -246,24 +248,24 @@
     }
 }
 
-/// A reason and its place.
+/// A reason why something is not accepted, with its location.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub struct Refusal {
-    /// What is wrong.
+    /// The reason.
     pub reason: Box<Reason>,
-    /// Where.
+    /// Where the problem stands.
     pub location: Location,
-    /// Where else it shows, such as the other of two.
+    /// Another location that is involved, such as that of the first of two duplicates.
     pub related: Option<Location>,
 }
 
 impl Refusal {
-    /// A refusal with one place.
+    /// Creates a refusal with one location.
     pub fn new(reason: Reason, location: Location) -> Self {
         Self::with_related(reason, location, None)
     }
 
-    /// A refusal with another place where it shows.
+    /// Creates a refusal with an optional related location.
     pub fn with_related(reason: Reason, location: Location, related: Option<Location>) -> Self {
         Refusal { reason: Box::new(reason), location, related }
     }
@@ -272,8 +274,8 @@
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.location, self.reason)?;
-        if let Some(other) = &self.related {
-            write!(f, " (see also {other})")?;
+        if let Some(related) = &self.related {
+            write!(f, " (see also {related})")?;
         }
         match self.reason.remedy() {
             Some(remedy) => write!(f, "; {remedy}"),
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -94,11 +94,11 @@
     ends(&["servers", "seal", &file], 0, &[]);
     assert_eq!(fs::read_to_string(&file).expect("the file"), sealed, "sealing twice changes nothing");
     fs::write(&file, sealed.replace("weight=3", "weight=4")).expect("the file");
-    ends(&["servers", "check", &directory], 1, &["the seal does not fit", "servers seal FILE"]);
+    ends(&["servers", "check", &directory], 1, &["the seal is not valid", "servers seal FILE"]);
     ends(&["servers", "seal", "--manifest", &directory], 0, &["1 files change as one"]);
     ends(&["servers", "check", &directory], 0, &["good"]);
     fs::write(&file, &sealed).expect("the file");
-    ends(&["servers", "check", &directory], 1, &["the manifest wants", "--manifest"]);
+    ends(&["servers", "check", &directory], 1, &["the manifest expects", "--manifest"]);
     ends(&["servers", "show", &directory], 1, &["server"]);
     fs::write(&file, "servers zone=").expect("the file");
     ends(&["servers", "seal", &file], 1, &["a.kdl:1:"]);
@@ -122,10 +122,10 @@
         table.lines().find(|l| l.starts_with("reader")).expect("a row").split_whitespace().collect();
     assert_eq!(row, ["reader", "a", "4.00", "->", "2.00", "100.0%", "->", "100.0%"]);
     let strict = [&diff[..], &["--leave-at-most", "0.4"]].concat();
-    ends(&strict, 1, &["50% of the weight of all readers would leave at once; 40% may"]);
+    ends(&strict, 1, &["50% of the weight of all readers would leave at once; at most 40% may"]);
     ends(&["servers", "diff", &old, &old], 0, &["no server changes"]);
     folder.write("next/a.kdl", &SERVERS.replace("weight=3", "weight=2"));
-    ends(&diff, 1, &["revision 1 is in service with another content"]);
+    ends(&diff, 1, &["revision 1 is already in service with different content"]);
 }
 
 #[test]
@@ -203,7 +203,7 @@
         let next = next.lines().filter(|line| !line.contains("r1")).collect::<Vec<_>>().join("\n");
         folder.write("servers/.next", &(next + "\n"));
         fs::rename(folder.path("servers/.next"), &file).expect("a rename");
-        served.says("this one has lost it");
+        served.says("the file in service has a seal, but this one has none");
         ends(&["servers", "seal", &file], 0, &[]);
         served.says("servers changed");
         fs::write(&file, "servers zone=\"a\" revision=3\nsevrer \"x\"\n").expect("the file");
