--- a/src/membership/check.rs
+++ b/src/membership/check.rs
@@ -1,4 +1,4 @@
-//! Does a set agree with itself, with the settings, and with the revisions in service?
+//! Checks that a set of files agrees with itself, with the settings and with the revisions in service.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -7,20 +7,21 @@
 use super::refusal::{MAX_WEIGHT, Reason, Refusal};
 use super::set::{Catalog, DeclaredServer, SetFile};
 
-/// Names closer than this (1 is the same) are offered as what may have been meant.
-const ALIKE: f64 = 0.75;
+/// The least Jaro-Winkler similarity (1 for equal names) at which a known name is suggested for an unknown
+/// one.
+const MIN_SIMILARITY: f64 = 0.75;
 
-/// The known name that is closest to one that is not known.
+/// Returns the known name that is most similar to an unknown one, if any is similar enough.
 pub fn nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<String> {
     let scored = known.into_iter().map(|known| (strsim::jaro_winkler(name, known), known));
-    let best = scored.max_by(|a, b| a.0.total_cmp(&b.0)).filter(|(score, _)| *score >= ALIKE);
+    let best = scored.max_by(|a, b| a.0.total_cmp(&b.0)).filter(|(score, _)| *score >= MIN_SIMILARITY);
     best.map(|(_, known)| known.to_string())
 }
 
-/// May this file take the place of the one in service? An older revision never does unless it says that it
-/// rolls just that newer one back.
-pub fn revision(file: &SetFile, held: &SetFile) -> Result<(), Refusal> {
-    let (revision, current) = (file.revision.value, held.revision.value);
+/// Checks that a file may replace the one in service. An older revision is refused unless it says that it
+/// rolls back exactly the revision in service; so is a file without a seal if the one in service has a seal.
+pub fn revision(file: &SetFile, in_service: &SetFile) -> Result<(), Refusal> {
+    let (revision, current) = (file.revision.value, in_service.revision.value);
     if let Some(meant) = &file.meant
         && meant.value.revision != revision
     {
@@ -28,7 +29,7 @@
         return Err(Refusal::new(reason, meant.location.clone()));
     }
     let refuse = |reason| Err(Refusal::new(reason, file.revision.location.clone()));
-    if held.sealed && !file.sealed {
+    if in_service.sealed && !file.sealed {
         return refuse(Reason::SealLost);
     }
     match &file.rollback_of {
@@ -43,7 +44,8 @@
     }
 }
 
-/// All that contradicts within a set: between its servers and files, and against what the settings know.
+/// Returns all contradictions in a set: among its servers and files, and with the names and cells that the
+/// settings define.
 pub fn contradictions(catalog: &Catalog, files: &BTreeMap<String, Arc<SetFile>>) -> Vec<Refusal> {
     let mut refusals = Vec::new();
     let mut ids: BTreeMap<&str, &DeclaredServer> = BTreeMap::new();
@@ -85,11 +87,11 @@
                 refuse(Reason::UnknownCell(cell), &server.cell.location, None);
             }
             match cells.entry(cell) {
-                Entry::Vacant(free) => {
-                    free.insert((zone, server));
+                Entry::Vacant(vacant) => {
+                    vacant.insert((zone, server));
                 }
-                Entry::Occupied(taken) if taken.get().0 != zone => {
-                    let (first_zone, first) = *taken.get();
+                Entry::Occupied(occupied) if occupied.get().0 != zone => {
+                    let (first_zone, first) = *occupied.get();
                     let (first_zone, second_zone) = (first_zone.to_string(), zone.to_string());
                     let reason = Reason::CellInTwoZones { cell, first_zone, second_zone };
                     refuse(reason, &server.cell.location, Some(&first.cell.location));
--- a/src/membership/diff.rs
+++ b/src/membership/diff.rs
@@ -1,5 +1,5 @@
-//! What one set does to another: who joins, leaves, moves or weighs another amount, and which part of each
-//! role's weight that is, by data centre.
+//! Compares two sets: which servers join, leave, move or change their weight, and how each role's weight is
+//! spread over the data centres before and after.
 
 use std::collections::BTreeMap;
 
@@ -7,60 +7,60 @@
 use super::set::{Catalog, DeclaredServer};
 use crate::interface::Role;
 
-/// What happens to one server.
+/// What a change of sets does to one server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// It is new.
+    /// The server is new.
     Joins {
-        /// Its weight.
+        /// The server's weight.
         weight: f64,
     },
-    /// It is not named any more, and drains.
+    /// No file names the server any more, so it drains.
     Leaves {
-        /// Its weight.
+        /// The server's weight.
         weight: f64,
     },
-    /// The file says that it drains, or does not any more.
+    /// The file now says that the server drains (true), or no longer says so (false).
     Drains(bool),
-    /// It weighs another amount.
+    /// The server's weight changes.
     Weight {
-        /// Before.
+        /// The weight before.
         before: f64,
-        /// After.
+        /// The weight after.
         after: f64,
     },
-    /// It listens elsewhere: another process, empty and cold.
+    /// The server's address changes: it is another process, empty and cold.
     Moves {
-        /// Before.
+        /// The address before.
         before: String,
-        /// After.
+        /// The address after.
         after: String,
     },
-    /// Its kind, cell or data centre is another one.
+    /// The server's kind, cell or data centre changes; the text names the new one.
     Attribute(String),
 }
 
-/// The part of a role's weight that stands in one data centre, before and after.
+/// The weight of a role in one data centre, before and after, also as a fraction of the role's total weight.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Share {
     /// The role.
     pub role: Role,
     /// The data centre.
     pub zone: String,
-    /// Weight before.
+    /// The weight before.
     pub weight_before: f64,
-    /// Weight after.
+    /// The weight after.
     pub weight_after: f64,
-    /// Its part of the role's weight in all data centres, before, from 0 to 1.
+    /// The fraction, from 0 to 1, of the role's weight in all data centres before.
     pub fraction_before: f64,
-    /// The same after.
+    /// The same fraction after.
     pub fraction_after: f64,
 }
 
-/// All that a change of sets does.
+/// The effects of a change of sets.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Diff {
-    /// What happens to each server, by data centre (of the newer set, if it is in both) and id.
+    /// The changes of each server, by data centre (that of the newer set if the server is in both) and id.
     pub changes: BTreeMap<(String, String), Vec<Change>>,
     /// The shares by role and data centre.
     pub shares: Vec<Share>,
@@ -112,29 +112,29 @@
         }
     }
     for (id, (zone, server)) in old.iter().filter(|(id, _)| !new.contains_key(*id)) {
-        let leaves = vec![Change::Leaves { weight: server.weight.value }];
-        diff.changes.insert((zone.to_string(), id.to_string()), leaves);
+        let changes = vec![Change::Leaves { weight: server.weight.value }];
+        diff.changes.insert((zone.to_string(), id.to_string()), changes);
     }
     for role in [Role::Reader, Role::Writer] {
         let weight = |files: &FilesByZone, zone: &str| {
             files.get(zone).map_or(0.0, |file| role_weight(catalog, file, role))
         };
-        let all = |files: &FilesByZone| files.keys().map(|zone| weight(files, zone)).sum::<f64>();
-        let (all_before, all_after) = (all(before), all(after));
-        let part = |weight: f64, all: f64| if all > 0.0 { weight / all } else { 0.0 };
+        let total = |files: &FilesByZone| files.keys().map(|zone| weight(files, zone)).sum::<f64>();
+        let (total_before, total_after) = (total(before), total(after));
+        let fraction = |weight: f64, total: f64| if total > 0.0 { weight / total } else { 0.0 };
         let mut zones: Vec<&String> = before.keys().chain(after.keys()).collect();
         zones.sort();
         zones.dedup();
         for zone in zones {
-            let (was, is) = (weight(before, zone), weight(after, zone));
-            if was > 0.0 || is > 0.0 {
+            let (old_weight, new_weight) = (weight(before, zone), weight(after, zone));
+            if old_weight > 0.0 || new_weight > 0.0 {
                 diff.shares.push(Share {
                     role,
                     zone: zone.clone(),
-                    weight_before: was,
-                    weight_after: is,
-                    fraction_before: part(was, all_before),
-                    fraction_after: part(is, all_after),
+                    weight_before: old_weight,
+                    weight_after: new_weight,
+                    fraction_before: fraction(old_weight, total_before),
+                    fraction_after: fraction(new_weight, total_after),
                 });
             }
         }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,15 +1,17 @@
-//! Who is a member of a pool: decided here, without sockets, files or a clock. Whole snapshots of the watched
-//! files and the news of discovery go in with the time; numbered, whole, immutable [`Generation`]s come out.
+//! Decides who is a member of a pool, without sockets, files or a clock. Snapshots of the watched files and
+//! updates from discovery go in with the time; numbered, complete, immutable [`Generation`]s come out.
 //!
-//! The one rule of precedence: where files are set up, **a file says who is a member, with which address,
+//! The rule of precedence: where files are configured, **a file says who is a member, with which address,
 //! kind, cell and weight; discovery says only whether the process runs and since when, and of two states the
-//! stricter one holds.** A server that no file names is no member, whatever discovery says; a server that
-//! discovery does not name is as the file says. Without files discovery alone decides.
+//! stricter one applies.** A server that no file names is not a member, whatever discovery says; a server
+//! that discovery does not list has the state that its file gives it. Without files, discovery alone decides.
 //!
-//! A set of files passes four rooms: [`intake`] (is it whole?), [`check`] (does it agree with itself and with
-//! what is known?), [`guard`] (can it be meant?), [`lives`] (who drains, returns, or is another process now).
-//! Where it is wanted, `trial` then asks whether it does what is expected of it.
-//! This room knows no document form, no path and no protocol.
+//! A set of files passes four stages: [`intake`] (are the files complete?), [`check`] (does the set agree
+//! with itself, with the settings and with the revisions in service?), [`guard`] (does it leave enough
+//! capacity in service?) and [`lives`] (which members drain, return or are a new process). Where expectations
+//! are configured, `trial` has a set tested against them before it is accepted.
+//!
+//! This module reads no files, parses no documents and speaks no protocol.
 
 pub mod check;
 pub mod diff;
--- a/src/membership/set.rs
+++ b/src/membership/set.rs
@@ -1,4 +1,4 @@
-//! The plain data of a set: what files declare, and where in them it stands.
+//! Data types of a set: what its files declare, and where in the files each value stands.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -6,23 +6,23 @@
 
 use crate::interface::{Role, ServerId};
 
-/// Where something stands in a file.
+/// A position in a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Location {
     /// The file's name within its directory.
     pub file: Arc<str>,
-    /// Line, from 1; 0 where the whole file is meant.
+    /// Line, counted from 1; 0 if the location is the whole file.
     pub line: u32,
-    /// Column in characters, from 1; 0 where the whole file is meant.
+    /// Column in characters, counted from 1; 0 if the location is the whole file.
     pub column: u32,
-    /// The same in bytes from the file's start.
+    /// Offset in bytes from the start of the file.
     pub offset: usize,
-    /// How many bytes it takes up.
+    /// Length in bytes.
     pub length: usize,
 }
 
 impl Location {
-    /// The whole of a file.
+    /// Returns the location that stands for a whole file.
     pub fn whole_file(file: impl Into<Arc<str>>) -> Self {
         Location { file: file.into(), line: 0, column: 0, offset: 0, length: 0 }
     }
@@ -37,16 +37,16 @@
     }
 }
 
-/// A value and where it stands.
+/// A value together with its location in a file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Located<T> {
     /// The value.
     pub value: T,
-    /// Where it stands.
+    /// Where the value stands.
     pub location: Location,
 }
 
-/// SHA-256 of a file's bytes.
+/// The SHA-256 digest of a file's bytes.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest(pub [u8; 32]);
 
@@ -62,99 +62,102 @@
     }
 }
 
-/// One server as a file declares it.
+/// A server as a file declares it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DeclaredServer {
-    /// Its id.
+    /// The server's id.
     pub id: Located<String>,
-    /// The number that decisions know it by, made from the id.
+    /// The number that identifies the server in routing decisions, computed from the id.
     pub number: ServerId,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: Located<String>,
     /// The name of its kind.
     pub kind: Located<String>,
     /// Its cell.
     pub cell: Located<u32>,
-    /// Its weight: capacity against others of its role; 0 takes nothing new.
+    /// Its weight: its capacity relative to other servers of its role. With weight 0 it gets no new work.
     pub weight: Located<f64>,
-    /// It finishes what it has.
+    /// True if the server only finishes the work that it has.
     pub draining: bool,
 }
 
-/// A figure that names a revision, with the operator's reason.
+/// An operator's confirmation (the `meant` node) that one revision is intended although it would be
+/// held back.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Confirmation {
-    /// The revision named.
+    /// The revision that is confirmed; the confirmation holds for no other.
     pub revision: u64,
-    /// Why.
+    /// The operator's reason.
     pub reason: String,
 }
 
-/// One file: the servers of one data centre (zone).
+/// One file of a set: the servers of one data centre (zone).
 #[derive(Clone, Debug, PartialEq)]
 pub struct SetFile {
-    /// Its name within the directory.
+    /// The file's name within its directory.
     pub name: Arc<str>,
-    /// Its text, which is kept for the next start.
+    /// Its text, which is saved for the next start.
     pub text: Arc<str>,
-    /// Digest of its bytes.
+    /// The digest of its bytes.
     pub digest: Digest,
-    /// Its last node counts and digests all before it, so that it can't have been cut off.
+    /// True if the file ends in a valid seal: a last node that counts and digests all that precedes it, which
+    /// shows that the file has not been truncated.
     pub sealed: bool,
     /// The data centre.
     pub zone: Located<String>,
-    /// Grows with each change.
+    /// The file's revision, which grows with each change.
     pub revision: Located<u64>,
-    /// This older revision takes the place of that newer one on purpose.
+    /// The newer revision that this older one replaces on purpose.
     pub rollback_of: Option<Located<u64>>,
-    /// The operator means what would be held back, in just this revision.
+    /// The operator's confirmation that this very revision is intended, if the file has one.
     pub meant: Option<Located<Confirmation>>,
     /// The servers.
     pub servers: Vec<DeclaredServer>,
 }
 
 impl SetFile {
-    /// Whether what would be held back is meant, in this very revision.
+    /// Returns true if the operator has confirmed this very revision, so that the guard does not hold it
+    /// back.
     pub fn is_confirmed(&self) -> bool {
         self.meant.as_ref().is_some_and(|meant| meant.value.revision == self.revision.value)
     }
 }
 
-/// Several files that change as one.
+/// A manifest: the files that change together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Manifest {
-    /// The file that holds it.
+    /// The name of the manifest's own file.
     pub name: Arc<str>,
-    /// Digest of its bytes.
+    /// The digest of its bytes.
     pub digest: Digest,
-    /// It can't have been cut off.
+    /// True if the manifest ends in a valid seal, so that it has not been truncated.
     pub sealed: bool,
-    /// The files by name, and the digest that each must have.
+    /// The names of the files, with the digest that each must have.
     pub files: Vec<(Located<String>, Digest)>,
 }
 
-/// What a directory held when it was read.
+/// The contents of a directory at the time when it was read.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Scan {
-    /// Each file: what it declares, or why it can't be read.
+    /// For each file, what it declares or why it can't be read.
     pub files: Vec<Result<Arc<SetFile>, super::Refusal>>,
     /// The manifest, if there is one.
     pub manifest: Option<Result<Manifest, super::Refusal>>,
 }
 
-/// What the settings know, by which sets are checked.
+/// The names that the settings define, against which sets are checked.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Catalog {
-    /// The data centres, in the order of their numbers.
+    /// The data centres, ordered by number.
     pub zones: Vec<String>,
-    /// The kinds of server with their roles, in the order of their numbers.
+    /// The kinds of server with their roles, ordered by number.
     pub kinds: Vec<(String, Role)>,
-    /// The cells that exist; none: any number will do.
+    /// The cells that exist; if none, any cell number is valid.
     pub cells: Option<BTreeSet<u32>>,
 }
 
 impl Catalog {
-    /// The role of a kind.
+    /// Returns the role of a kind, or none if the kind is not known.
     pub fn role(&self, kind: &str) -> Option<Role> {
         self.kinds.iter().find(|(name, _)| name == kind).map(|(_, role)| *role)
     }
--- a/src/membership/state.rs
+++ b/src/membership/state.rs
@@ -1,4 +1,5 @@
-//! The state machine: scans, news of discovery and time in; generations and refusals out.
+//! The state machine of a pool's membership: it takes scans, discovery updates and the time, and emits
+//! generations, refusals and requests for trials.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,48 +10,48 @@
 use super::lives::{MemberTracker, Phase, WeightSteps};
 use super::refusal::{Reason, Refusal};
 use super::set::{Catalog, Scan, SetFile};
-use super::trial::{Ask, Candidate, TrialRules, Trials, same};
+use super::trial::{Candidate, Decision, TrialRules, Trials, same_digests};
 use crate::interface::*;
 
-/// The figures by which sets are taken.
+/// The rules by which sets are accepted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SetRules {
-    /// A file without a seal has to stand unchanged for so long.
+    /// How long a file without a seal has to be unchanged before it is accepted.
     pub quiet_period: Micros,
-    /// Between two changes that the files bring lies at least so much time; of what comes in between, the
+    /// The least time between two changes that come from files; of the sets that arrive in between, only the
     /// newest counts.
     pub min_change_interval: Micros,
-    /// Who leaves the files drains for so long.
+    /// How long a server drains once no file names it any more.
     pub drain_period: Micros,
-    /// The part of a role's weight that may leave at once, from 0 to 1.
+    /// The fraction, from 0 to 1, of a role's weight that may leave at once without a confirmation.
     pub max_weight_loss: f64,
-    /// How weights grow.
+    /// How weights grow to the values that the files declare.
     pub weight_steps: WeightSteps,
-    /// How a set is tried before it is taken; none: it is not.
+    /// How a set is tried before it is accepted; if none, it is not tried.
     pub trial: Option<TrialRules>,
 }
 
 /// A server as discovery lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedServer {
-    /// The entry.
+    /// The entry, as routing decisions use it.
     pub entry: ServerEntry,
-    /// Its id.
+    /// The server's id.
     pub name: Arc<str>,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: Arc<str>,
 }
 
-/// What has happened.
+/// An event for the membership.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// The directory was read.
     Scan(Scan),
-    /// The last good set, kept from an earlier run: the generation's number and the files.
+    /// The last accepted set, saved by an earlier run: the number of its generation, and its files.
     Saved(u64, Vec<Arc<SetFile>>),
-    /// News of discovery.
+    /// Discovery has sent a list or changes to it.
     Discovery(ListScope, Vec<ListedServer>),
-    /// A trial that was asked for has ended: what speaks against the set, or nothing.
+    /// The trial of this number has ended with these refusals; none if the set has passed.
     TrialEnded(u64, Vec<Refusal>),
     /// Time has passed.
     Tick,
@@ -59,192 +60,202 @@
 /// One member of a generation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// The entry as decisions take it.
+    /// The entry, as routing decisions use it.
     pub entry: ServerEntry,
-    /// Its id.
+    /// The server's id.
     pub name: Arc<str>,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: Arc<str>,
 }
 
 /// Why there is a new generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// Files were taken.
+    /// A set of files was accepted.
     Files,
-    /// Discovery told something.
+    /// Discovery reported a change.
     Discovery,
-    /// Time: a drain has ended, or a weight has taken a step.
+    /// Time has passed: a drain has ended, or a weight has taken a step.
     Time,
 }
 
-/// Who is a member: numbered, whole, never changed.
+/// A numbered, complete and immutable list of the members.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Generation {
-    /// Grows by one each time.
+    /// The generation's number, one more than that of the generation before.
     pub number: u64,
-    /// Why it came.
+    /// Why there is a new generation.
     pub cause: Cause,
-    /// The members by number; who is not here is gone.
+    /// The members, ordered by server number; a server that is not listed is gone.
     pub members: Vec<Member>,
-    /// The files that it stands on, by data centre.
+    /// The files in service from which the generation is made, by data centre.
     pub files: FilesByZone,
 }
 
-/// What is to be done.
+/// An action that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Route by this from now on.
+    /// Route by this generation from now on.
     Publish(Arc<Generation>),
-    /// Keep the files of this generation for the next start.
+    /// Save the files of this generation for the next start.
     Save(Arc<Generation>),
-    /// Something of a scan is not taken; said once for as long as it stands.
+    /// Report that a file or set is not accepted; sent once for as long as the reason persists.
     Refuse(Refusal),
-    /// What was refused before is taken or gone.
+    /// Report that nothing is refused any more.
     RefusalsCleared,
-    /// Try these files, by data centre; [`Input::Tried`] with this number is owed, unless it is stopped.
+    /// Start a trial with this number for these files, by data centre. The caller has to send
+    /// [`Input::TrialEnded`] with the number when the trial ends, unless it is stopped before.
     StartTrial(u64, FilesByZone),
-    /// The trial of this number need not go on.
+    /// Stop the trial of this number; its result is not needed any more.
     StopTrial(u64),
-    /// What speaks against a set that is taken all the same.
+    /// Warn of a problem with a set that is accepted nevertheless.
     Warn(Refusal),
 }
 
-/// The membership of one pool: what it was told, what is in service, and what was published last.
+/// The membership of one pool: the inputs that it has received, the files in service and the last published
+/// generation.
 #[derive(Debug)]
 pub struct Membership {
     catalog: Catalog,
     rules: SetRules,
-    /// Files are set up: discovery alone makes nobody a member.
-    by_files: bool,
+    /// True if files are configured, so that discovery alone makes no server a member.
+    files_configured: bool,
+    /// The files in service.
     accepted: FilesByZone,
+    /// The newest scan.
     scan: Scan,
-    rests: Intake,
+    intake: Intake,
+    /// True if a set with a manifest has been accepted, so that a manifest is required from then on.
     manifest_seen: bool,
-    wake: Option<Micros>,
-    next_change: Micros,
-    /// A good set that came too soon after the last one.
+    /// When the newest scan has to be evaluated again.
+    wake_at: Option<Micros>,
+    /// The earliest time for the next change that comes from files.
+    next_change_at: Micros,
+    /// A set that has passed the checks and waits, because the last change was too recent or another trial is
+    /// running.
     pending: Option<Candidate>,
     trials: Trials,
-    told: Vec<Refusal>,
-    lives: MemberTracker,
+    /// The refusals at present, all of which have been reported.
+    reported: Vec<Refusal>,
+    tracker: MemberTracker,
     listed: BTreeMap<ServerId, ListedServer>,
-    number: u64,
-    last: Option<Arc<Generation>>,
+    generation_number: u64,
+    last_published: Option<Arc<Generation>>,
 }
 
 impl Membership {
-    /// Nobody is a member yet.
-    pub fn new(catalog: Catalog, rules: SetRules, by_files: bool) -> Self {
+    /// Creates a membership without members.
+    pub fn new(catalog: Catalog, rules: SetRules, files_configured: bool) -> Self {
         Membership {
             catalog,
             rules,
-            by_files,
+            files_configured,
             accepted: FilesByZone::new(),
             scan: Scan::default(),
-            rests: Intake::default(),
+            intake: Intake::default(),
             manifest_seen: false,
-            wake: None,
-            next_change: 0,
+            wake_at: None,
+            next_change_at: 0,
             pending: None,
             trials: Trials::new(rules.trial),
-            told: Vec::new(),
-            lives: MemberTracker::default(),
+            reported: Vec::new(),
+            tracker: MemberTracker::default(),
             listed: BTreeMap::new(),
-            number: 0,
-            last: None,
+            generation_number: 0,
+            last_published: None,
         }
     }
 
-    /// When [`Input::Tick`] is next due.
+    /// Returns when [`Input::Tick`] is next due.
     pub fn next_due(&self) -> Option<Micros> {
-        self.wake.into_iter().chain(self.lives.next_due()).chain(self.trials.next_due()).min()
+        self.wake_at.into_iter().chain(self.tracker.next_due()).chain(self.trials.next_due()).min()
     }
 
-    /// The files in service, by data centre.
+    /// Returns the files in service, by data centre.
     pub fn accepted(&self) -> &FilesByZone {
         &self.accepted
     }
 
-    /// What is refused at present.
+    /// Returns the refusals at present.
     pub fn refused(&self) -> &[Refusal] {
-        &self.told
+        &self.reported
     }
 
-    /// Takes one event.
-    pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
+    /// Handles one event and appends the resulting actions to `outputs`.
+    pub fn handle(&mut self, now: Micros, input: Input, outputs: &mut Vec<Output>) {
         match input {
             Input::Scan(scan) => {
                 self.scan = scan;
-                self.consider(now, out);
+                self.evaluate_scan(now, outputs);
             }
             Input::Saved(number, files) => {
-                self.number = self.number.max(number);
+                self.generation_number = self.generation_number.max(number);
                 let files: FilesByZone =
                     files.into_iter().map(|file| (file.zone.value.clone(), file)).collect();
-                // It was good when it was kept, but the settings may be others now.
+                // The set was valid when it was saved, but the settings may have changed since.
                 let refusals = check::contradictions(&self.catalog, &files);
                 if refusals.is_empty() && self.accepted.is_empty() {
-                    self.accept(now, files, out);
-                    self.next_change = now;
+                    self.accept(now, files, outputs);
+                    self.next_change_at = now;
                 } else {
-                    out.extend(refusals.into_iter().map(Output::Refuse));
+                    outputs.extend(refusals.into_iter().map(Output::Refuse));
                 }
             }
-            Input::Discovery(scope, listed) => self.on_discovery(scope, listed, out),
+            Input::Discovery(scope, listed) => self.on_discovery(scope, listed, outputs),
             Input::TrialEnded(number, refusals) => {
-                if let Some(candidate) = self.trials.found(number, refusals) {
-                    self.take(now, candidate, out);
+                if let Some(candidate) = self.trials.finish(number, refusals) {
+                    self.accept_candidate(now, candidate, outputs);
                 }
-                self.consider(now, out);
+                self.evaluate_scan(now, outputs);
             }
             Input::Tick => {
-                if let Some(overdue) = self.trials.pass(now) {
-                    out.push(Output::StopTrial(overdue.number));
-                    if let Some(candidate) = overdue.take {
-                        out.push(Output::Warn(overdue.refusal));
-                        self.take(now, candidate, out);
+                if let Some(timed_out) = self.trials.expire(now) {
+                    outputs.push(Output::StopTrial(timed_out.number));
+                    if let Some(candidate) = timed_out.accepted {
+                        outputs.push(Output::Warn(timed_out.refusal));
+                        self.accept_candidate(now, candidate, outputs);
                     }
-                    self.consider(now, out);
+                    self.evaluate_scan(now, outputs);
                 }
-                if self.wake.is_some_and(|at| at <= now) {
-                    self.consider(now, out);
+                if self.wake_at.is_some_and(|at| at <= now) {
+                    self.evaluate_scan(now, outputs);
                 }
-                if self.lives.advance(now, &self.rules.weight_steps) {
-                    self.publish(Cause::Time, out);
+                if self.tracker.advance(now, &self.rules.weight_steps) {
+                    self.publish(Cause::Time, outputs);
                 }
             }
         }
     }
 
-    /// Looks at the newest scan: takes it, waits, or says why not.
-    fn consider(&mut self, now: Micros, out: &mut Vec<Output>) {
-        self.wake = None;
-        let found = self.rests.examine(now, &self.scan, self.manifest_seen, self.rules.quiet_period);
-        self.wake = found.quiet_period_ends_at;
-        let (mut refusals, mut candidate) = (found.refusals, self.accepted.clone());
-        if !found.blocked {
-            for (zone, file) in &found.files {
+    /// Evaluates the newest scan: makes it a pending candidate or reports why it is refused or has to wait.
+    fn evaluate_scan(&mut self, now: Micros, outputs: &mut Vec<Output>) {
+        self.wake_at = None;
+        let intake_result = self.intake.examine(now, &self.scan, self.manifest_seen, self.rules.quiet_period);
+        self.wake_at = intake_result.quiet_period_ends_at;
+        let (mut refusals, mut candidate) = (intake_result.refusals, self.accepted.clone());
+        if !intake_result.blocked {
+            for (zone, file) in &intake_result.files {
                 match candidate.get(zone) {
-                    Some(held) if held.digest == file.digest => {}
-                    Some(held) => match check::revision(file, held) {
+                    Some(in_service) if in_service.digest == file.digest => {}
+                    Some(in_service) => match check::revision(file, in_service) {
                         Ok(()) => drop(candidate.insert(zone.clone(), file.clone())),
                         Err(refusal) => refusals.push(refusal),
                     },
                     None => drop(candidate.insert(zone.clone(), file.clone())),
                 }
             }
-            self.look_for_missing(&mut refusals);
+            self.refuse_missing_files(&mut refusals);
         }
-        let in_parts = self.scan.manifest.is_none();
-        let stale = !in_parts && refusals.iter().any(|r| *r.reason != Reason::AwaitingQuietPeriod);
-        if found.blocked || stale || same(&candidate, &self.accepted) {
+        let independent = self.scan.manifest.is_none();
+        let manifest_refused =
+            !independent && refusals.iter().any(|r| *r.reason != Reason::AwaitingQuietPeriod);
+        if intake_result.blocked || manifest_refused || same_digests(&candidate, &self.accepted) {
             if refusals.is_empty() {
-                // It has gone back to what is in service.
+                // The files have returned to the state that is in service.
                 self.pending = None;
             }
-            self.tell(refusals, out);
-            return self.take_pending(now, out);
+            self.report_refusals(refusals, outputs);
+            return self.take_pending(now, outputs);
         }
         let mut blocking = check::contradictions(&self.catalog, &candidate);
         if blocking.is_empty() {
@@ -256,143 +267,153 @@
             );
         }
         if blocking.is_empty() {
-            blocking = self.trials.against(&candidate).to_vec();
+            blocking = self.trials.known_failures(&candidate).to_vec();
         }
         let blocked = !blocking.is_empty();
         refusals.extend(blocking);
         if !blocked {
-            // The one that is being tried is the newest good one again: nothing waits for its turn.
-            let tried = self.trials.tries(&candidate);
-            self.pending = Some(Candidate { files: candidate, by_manifest: !in_parts }).filter(|_| !tried);
+            // If the set on trial is again the newest valid one, no other set has to wait for its turn.
+            let is_running = self.trials.is_running(&candidate);
+            self.pending =
+                Some(Candidate { files: candidate, by_manifest: !independent }).filter(|_| !is_running);
         }
-        self.tell(refusals, out);
-        self.take_pending(now, out);
+        self.report_refusals(refusals, outputs);
+        self.take_pending(now, outputs);
     }
 
-    /// Takes the newest good set, once it is not too soon after the last one. What is bad by then stands in
-    /// the way of itself alone.
-    fn take_pending(&mut self, now: Micros, out: &mut Vec<Output>) {
-        if now < self.next_change {
+    /// Accepts the pending set, or starts its trial, once the minimum interval since the last change has
+    /// passed. A newer set that is invalid does not prevent that.
+    fn take_pending(&mut self, now: Micros, outputs: &mut Vec<Output>) {
+        if now < self.next_change_at {
             if self.pending.is_some() {
-                self.wake = Some(self.wake.map_or(self.next_change, |at| at.min(self.next_change)));
+                self.wake_at =
+                    Some(self.wake_at.map_or(self.next_change_at, |at| at.min(self.next_change_at)));
             }
         } else if let Some(candidate) = self.pending.take() {
-            match self.trials.ask(now, candidate) {
-                Ask::Take(candidate) => self.take(now, candidate, out),
-                Ask::Try(number, files) => out.push(Output::StartTrial(number, files)),
-                Ask::Wait(candidate) => self.pending = Some(candidate),
-                Ask::Known => {}
+            match self.trials.decide(now, candidate) {
+                Decision::Accept(candidate) => self.accept_candidate(now, candidate, outputs),
+                Decision::StartTrial(number, files) => outputs.push(Output::StartTrial(number, files)),
+                Decision::Wait(candidate) => self.pending = Some(candidate),
+                Decision::AlreadyFailed => {}
             }
         }
     }
 
-    /// Takes a good set.
-    fn take(&mut self, now: Micros, Candidate { files, by_manifest }: Candidate, out: &mut Vec<Output>) {
+    /// Puts a set that has passed all checks into service and starts the minimum interval.
+    fn accept_candidate(
+        &mut self,
+        now: Micros,
+        Candidate { files, by_manifest }: Candidate,
+        outputs: &mut Vec<Output>,
+    ) {
         self.manifest_seen |= by_manifest;
-        self.next_change = now.saturating_add(self.rules.min_change_interval);
-        self.accept(now, files, out);
+        self.next_change_at = now.saturating_add(self.rules.min_change_interval);
+        self.accept(now, files, outputs);
     }
 
-    /// A file that has gone is no instruction: its servers stay. Where a file can't be read, that is said.
-    fn look_for_missing(&self, refusals: &mut Vec<Refusal>) {
-        for (zone, held) in &self.accepted {
-            let here = self.scan.files.iter().any(|file| match file {
-                Ok(file) => file.zone.value == *zone || file.name == held.name,
-                Err(refusal) => refusal.location.file == held.name,
+    /// Adds a refusal for each data centre in service whose file is missing. A missing file is not an
+    /// instruction to remove servers, so they stay. For a file that exists but can't be read, the scan has a
+    /// refusal already.
+    fn refuse_missing_files(&self, refusals: &mut Vec<Refusal>) {
+        for (zone, in_service) in &self.accepted {
+            let is_present = self.scan.files.iter().any(|file| match file {
+                Ok(file) => file.zone.value == *zone || file.name == in_service.name,
+                Err(refusal) => refusal.location.file == in_service.name,
             });
-            if !here {
-                let place = super::Location::whole_file(held.name.clone());
-                refusals.push(Refusal::new(Reason::FileMissing(zone.clone()), place));
+            if !is_present {
+                let location = super::Location::whole_file(in_service.name.clone());
+                refusals.push(Refusal::new(Reason::FileMissing(zone.clone()), location));
             }
         }
     }
 
-    fn accept(&mut self, now: Micros, files: FilesByZone, out: &mut Vec<Output>) {
-        let first = self.accepted.is_empty();
-        self.lives.apply(now, &files, first, self.rules.drain_period, &self.rules.weight_steps);
+    fn accept(&mut self, now: Micros, files: FilesByZone, outputs: &mut Vec<Output>) {
+        let is_first = self.accepted.is_empty();
+        self.tracker.apply(now, &files, is_first, self.rules.drain_period, &self.rules.weight_steps);
         self.accepted = files;
-        if let Some(generation) = self.publish(Cause::Files, out) {
-            out.push(Output::Save(generation));
+        if let Some(generation) = self.publish(Cause::Files, outputs) {
+            outputs.push(Output::Save(generation));
         }
     }
 
-    /// Says what is new among the refusals.
-    fn tell(&mut self, refusals: Vec<Refusal>, out: &mut Vec<Output>) {
-        let before = std::mem::replace(&mut self.told, refusals);
-        if self.told.is_empty() && !before.is_empty() {
-            out.push(Output::RefusalsCleared);
+    /// Reports the refusals that are new, or that all earlier ones are resolved.
+    fn report_refusals(&mut self, refusals: Vec<Refusal>, outputs: &mut Vec<Output>) {
+        let previous = std::mem::replace(&mut self.reported, refusals);
+        if self.reported.is_empty() && !previous.is_empty() {
+            outputs.push(Output::RefusalsCleared);
         }
-        let fresh = self.told.iter().filter(|refusal| !before.contains(refusal));
-        out.extend(fresh.cloned().map(Output::Refuse));
+        let new_refusals = self.reported.iter().filter(|refusal| !previous.contains(refusal));
+        outputs.extend(new_refusals.cloned().map(Output::Refuse));
     }
 
-    fn on_discovery(&mut self, scope: ListScope, listed: Vec<ListedServer>, out: &mut Vec<Output>) {
+    fn on_discovery(&mut self, scope: ListScope, listed: Vec<ListedServer>, outputs: &mut Vec<Output>) {
         match scope {
             ListScope::Failed => return,
             ListScope::Full | ListScope::Cached => self.listed.clear(),
             ListScope::Changes => {}
         }
-        for one in listed {
-            if one.entry.state == ServerState::Gone && !self.by_files {
-                self.listed.remove(&one.entry.id);
+        for listed_server in listed {
+            if listed_server.entry.state == ServerState::Gone && !self.files_configured {
+                self.listed.remove(&listed_server.entry.id);
             } else {
-                self.listed.insert(one.entry.id, one);
+                self.listed.insert(listed_server.entry.id, listed_server);
             }
         }
-        // Before the first set there is nobody whom discovery could speak of.
-        if !self.by_files || !self.accepted.is_empty() {
-            self.publish(Cause::Discovery, out);
+        // Before the first set of files there are no members whose state discovery could change.
+        if !self.files_configured || !self.accepted.is_empty() {
+            self.publish(Cause::Discovery, outputs);
         }
     }
 
-    /// Publishes who is a member now, if that is news.
-    fn publish(&mut self, cause: Cause, out: &mut Vec<Output>) -> Option<Arc<Generation>> {
-        let members = if self.by_files { self.merged() } else { self.as_listed() };
-        let same = self.last.as_ref().is_some_and(|last| last.members == members);
-        if same && cause != Cause::Files {
+    /// Publishes a new generation if the members have changed or a set of files has been accepted.
+    fn publish(&mut self, cause: Cause, outputs: &mut Vec<Output>) -> Option<Arc<Generation>> {
+        let members =
+            if self.files_configured { self.members_from_files() } else { self.members_from_discovery() };
+        let unchanged = self.last_published.as_ref().is_some_and(|last| last.members == members);
+        if unchanged && cause != Cause::Files {
             return None;
         }
-        self.number += 1;
+        self.generation_number += 1;
         let files = self.accepted.clone();
-        let generation = Arc::new(Generation { number: self.number, cause, members, files });
-        self.last = Some(generation.clone());
-        out.push(Output::Publish(generation.clone()));
+        let generation = Arc::new(Generation { number: self.generation_number, cause, members, files });
+        self.last_published = Some(generation.clone());
+        outputs.push(Output::Publish(generation.clone()));
         Some(generation)
     }
 
-    fn as_listed(&self) -> Vec<Member> {
-        let member = |one: &ListedServer| Member {
-            entry: one.entry,
-            name: one.name.clone(),
-            address: one.address.clone(),
+    fn members_from_discovery(&self) -> Vec<Member> {
+        let member = |listed_server: &ListedServer| Member {
+            entry: listed_server.entry,
+            name: listed_server.name.clone(),
+            address: listed_server.address.clone(),
         };
         self.listed.values().map(member).collect()
     }
 
-    /// The one rule of precedence: see the module's text.
-    fn merged(&self) -> Vec<Member> {
+    /// Combines the files with discovery by the rule of precedence described for the parent module.
+    fn members_from_files(&self) -> Vec<Member> {
         let mut members = Vec::new();
-        for (number, life) in self.lives.iter() {
+        for (number, member) in self.tracker.iter() {
             let listed = self.listed.get(number);
-            let state = match (life.phase, listed.map(|one| one.entry.state)) {
+            let state = match (member.phase, listed.map(|listed_server| listed_server.entry.state)) {
                 (_, Some(ServerState::Gone)) => continue,
                 (Phase::InService, None | Some(ServerState::Ready)) => ServerState::Ready,
                 _ => ServerState::Draining,
             };
-            let zone = self.catalog.zones.iter().position(|zone| *zone == life.zone);
-            let kind = self.catalog.kinds.iter().position(|(kind, _)| *kind == life.kind);
-            // Checked when the set was taken.
+            let zone = self.catalog.zones.iter().position(|zone| *zone == member.zone);
+            let kind = self.catalog.kinds.iter().position(|(kind, _)| *kind == member.kind);
+            // Zone and kind were checked when the set was accepted.
             let (Some(zone), Some(kind)) = (zone, kind) else { continue };
             let entry = ServerEntry {
                 id: *number,
                 zone: ZoneId(zone as u16),
                 kind: KindId(kind as u16),
-                cell: CellId(life.cell),
+                cell: CellId(member.cell),
                 state,
-                weight: life.weight,
-                started: listed.and_then(|one| one.entry.started).or(life.started),
+                weight: member.weight,
+                started: listed.and_then(|listed_server| listed_server.entry.started).or(member.started),
             };
-            members.push(Member { entry, name: life.name.clone(), address: life.address.clone() });
+            members.push(Member { entry, name: member.name.clone(), address: member.address.clone() });
         }
         members
     }
--- a/src/membership/trial.rs
+++ b/src/membership/trial.rs
@@ -1,61 +1,62 @@
-//! Whether a set is tried against its expectations before it is taken, and what comes of that: one trial at a time,
-//! with an end; a set that has failed is not tried again for as long as its content stays the same.
+//! Decides whether a set is tried against its expectations before it is accepted, and what follows from the
+//! result. One trial runs at a time, with a time limit; a set that has failed is not tried again for as long
+//! as its content stays the same.
 //!
-//! What an expectation is, this room does not know: it asks for a trial and is told what was found.
+//! This module does not evaluate expectations: it asks for a trial and is given the refusals that it found.
 
 use super::guard::FilesByZone;
 use super::refusal::{Reason, Refusal};
 use super::set::Location;
 use crate::interface::Micros;
 
-/// What becomes of a set whose trial does not end in time.
+/// What happens to a set whose trial does not end in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimeoutAction {
-    /// It is taken, and that is said.
+    /// The set is accepted, with a warning.
     Accept,
-    /// It is refused.
+    /// The set is refused.
     Refuse,
 }
 
-/// How sets are tried.
+/// The rules for trials of sets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrialRules {
     /// How long a trial may last.
     pub time_limit: Micros,
-    /// What becomes of a set whose trial lasts longer.
+    /// What happens to a set whose trial lasts longer.
     pub on_timeout: TimeoutAction,
 }
 
-/// A good set that is not in service yet.
+/// A set that has passed all checks and is not in service yet.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Candidate {
-    /// Its files, by data centre.
+    /// The set's files, by data centre.
     pub files: FilesByZone,
-    /// A manifest names them.
+    /// True if a manifest names the files.
     pub by_manifest: bool,
 }
 
-/// What is to be done with a candidate.
+/// What to do with a candidate.
 #[derive(Debug, PartialEq)]
-pub(super) enum Ask {
-    /// Take it.
-    Take(Candidate),
-    /// Try it; the trial has this number.
-    Try(u64, FilesByZone),
-    /// Another one is being tried.
+pub(super) enum Decision {
+    /// Accept the candidate.
+    Accept(Candidate),
+    /// Start a trial with this number for these files.
+    StartTrial(u64, FilesByZone),
+    /// Wait, because another set is being tried.
     Wait(Candidate),
-    /// It has failed before.
-    Known,
+    /// Do nothing, because the same content has already failed a trial.
+    AlreadyFailed,
 }
 
-/// How a trial that was not settled in time ends.
+/// The end of a trial that exceeded its time limit.
 #[derive(Debug, PartialEq)]
-pub(super) struct Overdue {
-    /// Its number: it need not go on.
+pub(super) struct TimedOut {
+    /// The number of the trial, which can be stopped.
     pub number: u64,
-    /// The set, if it is to be taken all the same.
-    pub take: Option<Candidate>,
-    /// What is to be said of it.
+    /// The set, if it is accepted nevertheless.
+    pub accepted: Option<Candidate>,
+    /// The refusal to report.
     pub refusal: Refusal,
 }
 
@@ -63,16 +64,16 @@
 struct Running {
     number: u64,
     candidate: Candidate,
-    until: Micros,
+    deadline: Micros,
 }
 
-/// The trials of one pool's sets.
+/// The trials of one pool's sets: the running one, and the last set that failed.
 #[derive(Debug, Default)]
 pub(super) struct Trials {
     rules: Option<TrialRules>,
     running: Option<Running>,
     failed: Option<(FilesByZone, Vec<Refusal>)>,
-    number: u64,
+    last_number: u64,
 }
 
 impl Trials {
@@ -80,42 +81,43 @@
         Trials { rules, ..Trials::default() }
     }
 
-    /// When a trial is overdue.
+    /// Returns when the running trial exceeds its time limit.
     pub(super) fn next_due(&self) -> Option<Micros> {
-        self.running.as_ref().map(|running| running.until)
+        self.running.as_ref().map(|running| running.deadline)
     }
 
-    /// What is known against a set; nothing if it has not failed.
-    pub(super) fn against(&self, files: &FilesByZone) -> &[Refusal] {
+    /// Returns the refusals of a set that has failed a trial; none if it has not.
+    pub(super) fn known_failures(&self, files: &FilesByZone) -> &[Refusal] {
         match &self.failed {
-            Some((failed, refusals)) if same(failed, files) => refusals,
+            Some((failed, refusals)) if same_digests(failed, files) => refusals,
             _ => &[],
         }
     }
 
-    /// Whether this set is being tried.
-    pub(super) fn tries(&self, files: &FilesByZone) -> bool {
-        self.running.as_ref().is_some_and(|running| same(&running.candidate.files, files))
+    /// Returns true if a trial of this set is running.
+    pub(super) fn is_running(&self, files: &FilesByZone) -> bool {
+        self.running.as_ref().is_some_and(|running| same_digests(&running.candidate.files, files))
     }
 
-    /// Asks what to do with a candidate.
-    pub(super) fn ask(&mut self, now: Micros, candidate: Candidate) -> Ask {
-        let Some(rules) = self.rules else { return Ask::Take(candidate) };
+    /// Decides what to do with a candidate, and records the trial if one is to start.
+    pub(super) fn decide(&mut self, now: Micros, candidate: Candidate) -> Decision {
+        let Some(rules) = self.rules else { return Decision::Accept(candidate) };
         if self.running.is_some() {
-            return Ask::Wait(candidate);
+            return Decision::Wait(candidate);
         }
-        if !self.against(&candidate.files).is_empty() {
-            return Ask::Known;
+        if !self.known_failures(&candidate.files).is_empty() {
+            return Decision::AlreadyFailed;
         }
-        self.number += 1;
+        self.last_number += 1;
         let files = candidate.files.clone();
-        let until = now.saturating_add(rules.time_limit);
-        self.running = Some(Running { number: self.number, candidate, until });
-        Ask::Try(self.number, files)
+        let deadline = now.saturating_add(rules.time_limit);
+        self.running = Some(Running { number: self.last_number, candidate, deadline });
+        Decision::StartTrial(self.last_number, files)
     }
 
-    /// A trial has ended: the set if it is to be taken. What is found too late counts no more.
-    pub(super) fn found(&mut self, number: u64, refusals: Vec<Refusal>) -> Option<Candidate> {
+    /// Records the result of a trial and returns the set if it is to be accepted. A result that arrives after
+    /// the trial has timed out is ignored.
+    pub(super) fn finish(&mut self, number: u64, refusals: Vec<Refusal>) -> Option<Candidate> {
         let Running { candidate, .. } = self.running.take_if(|running| running.number == number)?;
         if refusals.is_empty() {
             return Some(candidate);
@@ -124,27 +126,28 @@
         None
     }
 
-    /// Ends a trial that is overdue.
-    pub(super) fn pass(&mut self, now: Micros) -> Option<Overdue> {
+    /// Ends the running trial if it has exceeded its time limit.
+    pub(super) fn expire(&mut self, now: Micros) -> Option<TimedOut> {
         let TrialRules { time_limit, on_timeout } = self.rules?;
-        let Running { number, candidate, .. } = self.running.take_if(|running| running.until <= now)?;
+        let Running { number, candidate, .. } = self.running.take_if(|running| running.deadline <= now)?;
         let file = candidate.files.values().next().map_or("".into(), |file| file.name.clone());
         let refusal = Refusal::new(
             Reason::TrialTimedOut { time_limit, accepted: on_timeout == TimeoutAction::Accept },
             Location::whole_file(file),
         );
-        let take = match on_timeout {
+        let accepted = match on_timeout {
             TimeoutAction::Accept => Some(candidate),
             TimeoutAction::Refuse => {
                 self.failed = Some((candidate.files, vec![refusal.clone()]));
                 None
             }
         };
-        Some(Overdue { number, take, refusal })
+        Some(TimedOut { number, accepted, refusal })
     }
 }
 
-/// The same files by their digests: what they declare need not be compared.
-pub(super) fn same(one: &FilesByZone, other: &FilesByZone) -> bool {
-    one.len() == other.len() && one.values().zip(other.values()).all(|(a, b)| a.digest == b.digest)
+/// Returns true if two sets have the same files by their digests; what the files declare need not be
+/// compared.
+pub(super) fn same_digests(first: &FilesByZone, second: &FilesByZone) -> bool {
+    first.len() == second.len() && first.values().zip(second.values()).all(|(a, b)| a.digest == b.digest)
 }
