--- a/tests/files.rs
+++ b/tests/files.rs
@@ -1,4 +1,4 @@
-//! Stories of watched files: what is written badly, and in every way of writing, never routes anybody.
+//! Tests of watched files: invalid content never changes the routing, however it is written to the directory.
 
 mod peers;
 
@@ -15,12 +15,13 @@
 use serde_json::json;
 use tracing::field::{Field, Visit};
 
-/// A folder of this test's own, gone with it.
+/// A temporary folder for one test, removed when the value is dropped.
 struct Folder(PathBuf);
 
 impl Folder {
     fn new(name: &str) -> Self {
-        // In memory where that can be had: a rename over a file may wait for the disk, which sets a storm's pace then.
+        // A folder in memory is preferred: on a disk, each rename over a file may wait for the disk and so
+        // slow down the writing.
         let memory = PathBuf::from("/dev/shm");
         let base = if memory.is_dir() { memory } else { std::env::temp_dir() };
         let path = base.join(format!("birchspur-{name}-{}", std::process::id()));
@@ -53,7 +54,7 @@
 }
 
 /// A sealed file of zone "a" with these servers: id, kind and address.
-fn set(revision: u64, servers: &[(&str, &str, &str)]) -> String {
+fn sealed_set(revision: u64, servers: &[(&str, &str, &str)]) -> String {
     let mut text = format!("servers zone=\"a\" revision={revision}\n");
     for (id, kind, address) in servers {
         text += &format!("server \"{id}\" address=\"{address}\" kind=\"{kind}\"\n");
@@ -61,28 +62,28 @@
     seal::sealed(&text, servers.len())
 }
 
-/// Generations by number: when each came, and the addresses of the servers that take work by it.
+/// Generations by number: when each was published, and the addresses of the servers that take work in it.
 type Generations = BTreeMap<u64, (Instant, BTreeSet<String>)>;
 
-/// What the program's log tells of generations and sends.
+/// Collects generations, sends and refusals from the program's log.
 #[derive(Clone, Default)]
-struct Told {
+struct LogCapture {
     generations: Arc<Mutex<Generations>>,
-    /// Sends: the generation, and the address.
+    /// The generation and the server address of each send.
     sends: Arc<Mutex<Vec<(u64, String)>>>,
-    /// What was refused.
+    /// The messages about refused files and sets.
     refused: Arc<Mutex<Vec<String>>>,
 }
 
 #[derive(Default)]
-struct Fields {
+struct EventFields {
     message: String,
     generation: Option<u64>,
     address: Option<String>,
     ready: Option<String>,
 }
 
-impl Visit for Fields {
+impl Visit for EventFields {
     fn record_u64(&mut self, field: &Field, value: u64) {
         if field.name() == "generation" {
             self.generation = Some(value);
@@ -104,7 +105,7 @@
     }
 }
 
-impl tracing::Subscriber for Told {
+impl tracing::Subscriber for LogCapture {
     fn enabled(&self, metadata: &tracing::Metadata<'_>) -> bool {
         matches!(metadata.target(), "birchspur::attempt" | "birchspur::membership")
     }
@@ -119,17 +120,17 @@
     fn exit(&self, _: &tracing::span::Id) {}
 
     fn event(&self, event: &tracing::Event<'_>) {
-        let mut fields = Fields::default();
+        let mut fields = EventFields::default();
         event.record(&mut fields);
         match fields {
-            Fields { generation: Some(generation), address: Some(address), .. } => {
+            EventFields { generation: Some(generation), address: Some(address), .. } => {
                 self.sends.lock().expect("no panic").push((generation, address));
             }
-            Fields { generation: Some(generation), ready: Some(ready), .. } => {
+            EventFields { generation: Some(generation), ready: Some(ready), .. } => {
                 let ready = ready.split(' ').filter(|a| !a.is_empty()).map(str::to_string).collect();
                 self.generations.lock().expect("no panic").insert(generation, (Instant::now(), ready));
             }
-            Fields { message, .. } if message.starts_with("not taken") => {
+            EventFields { message, .. } if message.starts_with("not taken") => {
                 self.refused.lock().expect("no panic").push(message);
             }
             _ => {}
@@ -137,13 +138,14 @@
     }
 }
 
-/// Puts a text in place in one of the ways that people and tools do.
-fn put(way: u64, path: &Path, text: &[u8]) {
-    let beside = path.with_file_name(format!(".beside-{way}"));
-    match way % 5 {
+/// Writes a file by one of the methods that editors and deployment tools use: a rename, a truncating write, a
+/// write in two halves, a replaced symbolic link, or a removal followed by a rename.
+fn replace_file(method: u64, path: &Path, text: &[u8]) {
+    let temporary = path.with_file_name(format!(".beside-{method}"));
+    match method % 5 {
         0 => {
-            fs::write(&beside, text).expect("a file");
-            fs::rename(&beside, path).expect("a rename");
+            fs::write(&temporary, text).expect("a file");
+            fs::rename(&temporary, path).expect("a rename");
         }
         1 => fs::write(path, text).expect("truncated and written"),
         2 => {
@@ -154,21 +156,21 @@
             std::io::Write::write_all(&mut file, tail).expect("the second half");
         }
         3 => {
-            let target = path.with_file_name(format!("target-{}", way % 7));
+            let target = path.with_file_name(format!("target-{}", method % 7));
             let _ = fs::remove_file(&target);
             fs::write(&target, text).expect("a target");
-            std::os::unix::fs::symlink(&target, &beside).expect("a link");
-            fs::rename(&beside, path).expect("the link is swapped");
+            std::os::unix::fs::symlink(&target, &temporary).expect("a link");
+            fs::rename(&temporary, path).expect("the link is replaced");
         }
         _ => {
             let _ = fs::remove_file(path);
-            fs::write(&beside, text).expect("a file");
-            fs::rename(&beside, path).expect("it is back");
+            fs::write(&temporary, text).expect("a file");
+            fs::rename(&temporary, path).expect("a rename");
         }
     }
 }
 
-/// Puts a whole directory in the place of another.
+/// Replaces the whole directory by a new one.
 fn replace_directory(folder: &Folder, text: &str) {
     let (new, old) = (folder.0.join("new"), folder.0.join("old"));
     fs::create_dir_all(&new).expect("a folder");
@@ -178,52 +180,64 @@
     fs::remove_dir_all(&old).expect("removed");
 }
 
-/// Five disjoint generations of servers, of two readers and two writers each.
-const GENERATIONS: usize = 5;
-const STORM: Duration = Duration::from_secs(10);
-const WRITES_A_SECOND: u64 = 250;
+/// The number of disjoint sets of servers, each with two readers and two writers.
+const SET_COUNT: usize = 5;
+const WRITE_DURATION: Duration = Duration::from_secs(10);
+const WRITES_PER_SECOND: u64 = 250;
 
 type Servers = Vec<(String, &'static str, String)>;
 
-/// Writes bad and good files until told to stop; gives how many.
-fn storm(folder: &Folder, sets: &[Servers], stop: &AtomicBool, revision: &AtomicU64) -> u64 {
-    let began = Instant::now();
-    let mut writes = 0;
+/// Writes invalid and valid files until `stop` is set; returns the number of writes.
+fn write_files(folder: &Folder, sets: &[Servers], stop: &AtomicBool, revision: &AtomicU64) -> u64 {
+    let started = Instant::now();
+    let mut write_count = 0;
     let path = folder.file();
     while !stop.load(Ordering::Relaxed) {
-        writes += 1;
+        write_count += 1;
         let next = revision.load(Ordering::Relaxed) + 1;
-        let servers: Vec<(&str, &str, &str)> = sets[writes as usize / 11 % sets.len()]
+        let servers: Vec<(&str, &str, &str)> = sets[write_count as usize / 11 % sets.len()]
             .iter()
             .map(|(i, k, a)| (i.as_str(), *k, a.as_str()))
             .collect();
-        let good = set(next, &servers);
-        match writes % 11 {
+        let good_set = sealed_set(next, &servers);
+        match write_count % 11 {
             0 => {
-                put(writes, &path, good.as_bytes());
+                replace_file(write_count, &path, good_set.as_bytes());
                 revision.store(next, Ordering::Relaxed);
-                // A good file needs a moment in place, or none is ever seen.
+                // A valid file has to stay for a moment, or none is ever read.
                 std::thread::sleep(Duration::from_millis(15));
             }
-            1 => put(writes, &path, &good.as_bytes()[..good.len() * (writes as usize % 97) / 97]),
-            2 => put(writes, &path, b""),
-            3 => put(writes, &path, set(next, &[servers[0], servers[0], servers[2]]).as_bytes()),
-            4 => put(writes, &path, set(next, &servers[2..]).as_bytes()),
-            5 => put(writes, &path, &[good.as_bytes(), &[0xff, 0xfe]].concat()),
-            6 => put(writes, &path, &[good.as_bytes(), &b"// more\n".repeat(10_000)].concat()),
-            7 => put(writes, &path, set(1, &servers[..3]).as_bytes()),
-            8 => replace_directory(folder, &good[..good.len() - 3]),
-            9 => put(writes, &path, good.replace("reader", "raeder").as_bytes()),
-            _ => put(writes, &path, seal::unsealed(&good).expect("a seal").as_bytes()),
+            1 => replace_file(
+                write_count,
+                &path,
+                &good_set.as_bytes()[..good_set.len() * (write_count as usize % 97) / 97],
+            ),
+            2 => replace_file(write_count, &path, b""),
+            3 => replace_file(
+                write_count,
+                &path,
+                sealed_set(next, &[servers[0], servers[0], servers[2]]).as_bytes(),
+            ),
+            4 => replace_file(write_count, &path, sealed_set(next, &servers[2..]).as_bytes()),
+            5 => replace_file(write_count, &path, &[good_set.as_bytes(), &[0xff, 0xfe]].concat()),
+            6 => replace_file(
+                write_count,
+                &path,
+                &[good_set.as_bytes(), &b"// more\n".repeat(10_000)].concat(),
+            ),
+            7 => replace_file(write_count, &path, sealed_set(1, &servers[..3]).as_bytes()),
+            8 => replace_directory(folder, &good_set[..good_set.len() - 3]),
+            9 => replace_file(write_count, &path, good_set.replace("reader", "raeder").as_bytes()),
+            _ => replace_file(write_count, &path, seal::unsealed(&good_set).expect("a seal").as_bytes()),
         }
-        let due = began + Duration::from_micros(writes * 1_000_000 / WRITES_A_SECOND);
+        let due = started + Duration::from_micros(write_count * 1_000_000 / WRITES_PER_SECOND);
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
     }
-    writes
+    write_count
 }
 
-/// One request; true if it was served, false if its one answer was another.
-async fn ask(front: &str, id: &str, class: &str) -> bool {
+/// Sends one request; returns true if it was served, false if its only answer was another.
+async fn send_request(front: &str, id: &str, class: &str) -> bool {
     let mut wire = Wire::connect(front).await;
     wire.write(&platform_request(id, class, 4000, "{}")).await;
     let head = wire.until("\r\n\r\n").await.expect("an answer");
@@ -235,16 +249,17 @@
     served
 }
 
-/// Failure: a file that is torn, empty, contradictory or thin is taken, or a good one is taken in parts; a
-/// server that has left gets more; a booking runs twice on the way from one set to the next.
+/// Guards against accepting a file that is truncated, empty, contradictory or has too few servers, or a valid
+/// one in parts; against requests to a server that has left; and against a booking that runs twice while one
+/// set replaces another.
 #[test]
-fn a_storm_of_bad_files_never_mixes_old_and_new() {
-    let told = Told::default();
-    let _guard = tracing::subscriber::set_default(told.clone());
+fn frequent_invalid_files_never_mix_old_and_new_sets() {
+    let log = LogCapture::default();
+    let _guard = tracing::subscriber::set_default(log.clone());
     story(async {
         let folder = Folder::new("storm");
         let (mut sets, mut stand_ins): (Vec<Servers>, Vec<Auto>) = Default::default();
-        for n in 0..GENERATIONS {
+        for n in 0..SET_COUNT {
             let mut servers = Vec::new();
             for (role, kind) in [("r", "reader"), ("q", "reader"), ("w", "writer"), ("v", "writer")] {
                 let stand_in = Auto::start(kind == "reader").await;
@@ -255,7 +270,7 @@
         }
         let first: Vec<(&str, &str, &str)> =
             sets[0].iter().map(|(i, k, a)| (i.as_str(), *k, a.as_str())).collect();
-        fs::write(folder.file(), set(1, &first)).expect("a first set");
+        fs::write(folder.file(), sealed_set(1, &first)).expect("a first set");
         let mut config = config("", &[]);
         config["settings"]["Rules"]["WarmUpMs"] = json!(50.0);
         let conductor = Conductor::start_with(config, &folder.operator("")).await;
@@ -264,66 +279,68 @@
         let writer = std::thread::spawn({
             let (stop, sets) = (stop.clone(), sets.clone());
             move || {
-                let writes = storm(&folder, &sets, &stop, &revision);
-                (writes, folder)
+                let write_count = write_files(&folder, &sets, &stop, &revision);
+                (write_count, folder)
             }
         });
-        let began = Instant::now();
+        let started = Instant::now();
         let mut clients = tokio::task::JoinSet::new();
         for client in 0..12 {
             let front = conductor.front.clone();
             clients.spawn(async move {
-                let (mut asked, mut served) = (0, Vec::new());
-                while began.elapsed() < STORM {
-                    let class = if asked % 3 == 0 { "book" } else { "ask" };
-                    let id = format!("{class}-{client}-{asked}");
-                    asked += 1;
-                    if ask(&front, &id, class).await {
+                let (mut request_count, mut served) = (0, Vec::new());
+                while started.elapsed() < WRITE_DURATION {
+                    let class = if request_count % 3 == 0 { "book" } else { "ask" };
+                    let id = format!("{class}-{client}-{request_count}");
+                    request_count += 1;
+                    if send_request(&front, &id, class).await {
                         served.push(id);
                     }
                     tokio::time::sleep(Duration::from_millis(3)).await;
                 }
-                (asked, served)
+                (request_count, served)
             });
         }
-        let (mut asked, mut served) = (0, Vec::new());
+        let (mut request_count, mut served) = (0, Vec::new());
         while let Some(client) = clients.join_next().await {
-            let (more, ids) = client.expect("each request has one whole answer");
-            asked += more;
+            let (client_requests, ids) = client.expect("each request has one whole answer");
+            request_count += client_requests;
             served.extend(ids);
         }
         stop.store(true, Ordering::Relaxed);
-        let (writes, _folder) = writer.join().expect("the writer's thread");
-        // Each of the eleven kinds many times over, however slow the disk is.
-        assert!(writes as f64 >= 30.0 * STORM.as_secs_f64(), "{writes} writes");
+        let (write_count, _folder) = writer.join().expect("the writer's thread");
+        // Each of the eleven kinds of write occurs many times, however slow the disk is.
+        assert!(write_count as f64 >= 30.0 * WRITE_DURATION.as_secs_f64(), "{write_count} writes");
 
-        let generations = told.generations.lock().expect("no panic").clone();
-        let sends = told.sends.lock().expect("no panic").clone();
-        let whole: Vec<BTreeSet<String>> = sets
+        let generations = log.generations.lock().expect("no panic").clone();
+        let sends = log.sends.lock().expect("no panic").clone();
+        let set_addresses: Vec<BTreeSet<String>> = sets
             .iter()
             .map(|servers| servers.iter().map(|(_, _, address)| address.clone()).collect())
             .collect();
-        let mut seen = BTreeSet::new();
+        let mut seen_sets = BTreeSet::new();
         for (number, (_, ready)) in &generations {
-            let of = whole.iter().position(|set| set == ready);
-            seen.insert(of.unwrap_or_else(|| panic!("generation {number} is a mixture: {ready:?}")));
+            let set_index = set_addresses.iter().position(|set| set == ready);
+            seen_sets.insert(
+                set_index.unwrap_or_else(|| panic!("generation {number} mixes several sets: {ready:?}")),
+            );
         }
-        assert_eq!(seen.len(), GENERATIONS, "all good sets were in service at some time");
+        assert_eq!(seen_sets.len(), SET_COUNT, "each valid set was in service at some time");
         assert!(generations.len() >= 20, "{} generations", generations.len());
         for (generation, address) in &sends {
             let (_, ready) = &generations[generation];
             assert!(
                 ready.contains(address),
-                "a send to {address}, which generation {generation} does not name"
+                "a send to {address}, which generation {generation} does not list"
             );
         }
-        // What reached a server, it was in service for within the 500 ms before.
-        let mut spans: BTreeMap<&str, Vec<(Instant, Option<Instant>)>> = BTreeMap::new();
+        // A request may reach a server up to 500 ms after the server left service, but not later.
+        let mut in_service_spans: BTreeMap<&str, Vec<(Instant, Option<Instant>)>> = BTreeMap::new();
         for (at, ready) in generations.values() {
             for stand_in in &stand_ins {
-                let spans = spans.entry(&stand_in.address).or_default();
-                match (ready.contains(&stand_in.address), spans.last_mut()) {
-                    (true, None | Some((_, Some(_)))) => spans.push((*at, None)),
+                let in_service_spans = in_service_spans.entry(&stand_in.address).or_default();
+                match (ready.contains(&stand_in.address), in_service_spans.last_mut()) {
+                    (true, None | Some((_, Some(_)))) => in_service_spans.push((*at, None)),
                     (false, Some((_, end @ None))) => *end = Some(*at),
                     _ => {}
                 }
@@ -333,10 +350,10 @@
         for (n, stand_in) in stand_ins.iter().enumerate() {
             for arrival in stand_in.arrivals() {
                 let grace = Duration::from_millis(500);
-                let fits = spans[stand_in.address.as_str()]
+                let in_service = in_service_spans[stand_in.address.as_str()]
                     .iter()
                     .any(|(from, to)| arrival.at >= *from && to.is_none_or(|to| arrival.at <= to + grace));
-                assert!(fits, "{} reached a server that had left", arrival.id);
+                assert!(in_service, "{} reached a server that had left", arrival.id);
                 if arrival.id.starts_with("book") && n % 4 >= 2 {
                     *bookings.entry(arrival.id).or_default() += 1;
                 }
@@ -344,13 +361,13 @@
         }
         assert!(bookings.values().all(|runs| *runs == 1), "a booking ran twice");
         for id in served.iter().filter(|id| id.starts_with("book")) {
-            assert!(bookings.contains_key(id), "{id} was answered, and did not run");
+            assert!(bookings.contains_key(id), "{id} was answered but did not run");
         }
-        assert!(served.len() * 2 > asked, "{} of {asked} served", served.len());
+        assert!(served.len() * 2 > request_count, "{} of {request_count} served", served.len());
     });
 }
 
-/// What one file of a directory is refused for.
+/// Returns why the only file of the directory is refused, or "nothing".
 fn refused(folder: &Folder) -> String {
     let scan = milletseam::transport::list::files::Directory::new(folder.directory(), 1_000).scan();
     assert_eq!(scan.files.len(), 1, "{:?}", scan.files);
@@ -360,9 +377,9 @@
     }
 }
 
-/// Failure: what can't be read holds the thread up, or is taken for an empty set.
+/// Guards against an unreadable file blocking the thread or counting as an empty set.
 #[test]
-fn what_is_no_readable_file_is_refused_with_its_reason() {
+fn unreadable_files_are_refused_with_the_reason() {
     let folder = Folder::new("unreadable");
     let file = folder.file();
     let clear = || {
@@ -382,9 +399,9 @@
     assert!(refused(&folder).contains("is larger than 1000 bytes"));
     fs::write(&file, b"servers zone=\"\xff\"").expect("a file");
     assert!(refused(&folder).contains("is not UTF-8"));
-    fs::write(&file, set(1, &[("r", "reader", "10.0.0.1:1")])).expect("a file");
+    fs::write(&file, sealed_set(1, &[("r", "reader", "10.0.0.1:1")])).expect("a file");
     assert_eq!(refused(&folder), "nothing");
-    // What is on its way, and what has another ending, is passed over.
+    // Files that are still being written, and files with another extension, are ignored.
     fs::write(folder.directory().join(".b.kdl"), "torn").expect("a file");
     fs::write(folder.directory().join("b.kdl~"), "torn").expect("a file");
     assert_eq!(refused(&folder), "nothing");
@@ -392,27 +409,28 @@
     assert!(refused(&folder).contains("servers: can't be read"));
 }
 
-/// Two disjoint sets, and a conductor on the first; the log tells when the second is in service.
-async fn swap(
+/// Writes the first of two disjoint sets, starts a conductor, writes the second, and waits until the log
+/// shows it in service.
+async fn wait_for_second_set(
     name: &str,
     poll: &str,
-    set_up: impl FnOnce(&Folder, &str),
-    change: impl FnOnce(&Folder, &str),
+    write_first: impl FnOnce(&Folder, &str),
+    write_second: impl FnOnce(&Folder, &str),
 ) {
     let folder = Folder::new(name);
     let sets = [1, 2].map(|n| {
         let (r, w) = (format!("127.0.0.1:{}", 10 + n), format!("127.0.0.1:{}", 20 + n));
-        set(n, &[("r", "reader", r.as_str()), ("w", "writer", w.as_str())])
+        sealed_set(n, &[("r", "reader", r.as_str()), ("w", "writer", w.as_str())])
     });
-    set_up(&folder, &sets[0]);
-    let told = Told::default();
-    let _guard = tracing::subscriber::set_default(told.clone());
+    write_first(&folder, &sets[0]);
+    let log = LogCapture::default();
+    let _guard = tracing::subscriber::set_default(log.clone());
     let document = folder.operator("").replace("poll \"50ms\"", &format!("poll \"{poll}\""));
     let _conductor = Conductor::start_with(config("", &[]), &document).await;
-    change(&folder, &sets[1]);
+    write_second(&folder, &sets[1]);
     let second: BTreeSet<String> = ["127.0.0.1:12", "127.0.0.1:22"].map(String::from).into();
     loop {
-        let generations = told.generations.lock().expect("no panic").clone();
+        let generations = log.generations.lock().expect("no panic").clone();
         if generations.values().any(|(_, ready)| *ready == second) {
             return;
         }
@@ -420,71 +438,83 @@
     }
 }
 
-/// Failure: a change waits for the poll, though the system tells of it.
+/// Guards against a change waiting for the poll although the operating system has reported it.
 #[test]
-fn a_hint_is_enough_for_a_rename_and_for_a_directory_put_in_place_of_another() {
+fn file_rename_and_directory_replacement_are_seen_without_the_poll() {
     let first = |folder: &Folder, text: &str| fs::write(folder.file(), text).expect("a file");
-    story(swap("hint-rename", "1h", first, |folder, text| put(0, &folder.file(), text.as_bytes())));
-    story(swap("hint-directory", "1h", first, replace_directory));
+    story(wait_for_second_set("hint-rename", "1h", first, |folder, text| {
+        replace_file(0, &folder.file(), text.as_bytes())
+    }));
+    story(wait_for_second_set("hint-directory", "1h", first, replace_directory));
 }
 
-/// Failure: a change that no hint tells of, behind a link that leads elsewhere, is never seen.
+/// Guards against never noticing a change behind a symbolic link into another directory, for which the
+/// operating system reports nothing.
 #[test]
-fn the_poll_finds_what_no_hint_tells() {
-    let elsewhere = |folder: &Folder| folder.0.join("elsewhere.kdl");
+fn poll_finds_a_change_without_a_file_system_event() {
+    let link_target = |folder: &Folder| folder.0.join("elsewhere.kdl");
     let first = |folder: &Folder, text: &str| {
-        let far = folder.0.join("far");
-        fs::create_dir_all(&far).expect("a folder");
-        fs::write(far.join("a"), text).expect("a file");
-        fs::rename(far.join("a"), elsewhere(folder)).expect("a rename");
-        std::os::unix::fs::symlink(elsewhere(folder), folder.file()).expect("a link");
+        let target_directory = folder.0.join("far");
+        fs::create_dir_all(&target_directory).expect("a folder");
+        fs::write(target_directory.join("a"), text).expect("a file");
+        fs::rename(target_directory.join("a"), link_target(folder)).expect("a rename");
+        std::os::unix::fs::symlink(link_target(folder), folder.file()).expect("a link");
     };
-    story(swap("poll", "30ms", first, |folder, text| fs::write(elsewhere(folder), text).expect("a file")));
+    story(wait_for_second_set("poll", "30ms", first, |folder, text| {
+        fs::write(link_target(folder), text).expect("a file")
+    }));
 }
 
-/// Failure: a set that quietly breaks what is expected of it goes live.
+/// Guards against a valid set that breaks an expectation going into service.
 #[test]
-fn a_set_that_breaks_an_expectation_is_not_taken_and_the_next_good_one_is() {
+fn set_that_breaks_an_expectation_is_refused_and_the_next_good_one_accepted() {
     let folder = Folder::new("guard");
     let document = folder.0.join("expectations.kdl");
     let expected = "expect \"w1 writes\" { when { request class=\"ask\"; }; then { writer \"w1\"; }; }\n";
     fs::write(&document, expected).expect("a file");
     story(async {
-        let (old, new) = (Auto::start(true).await, Auto::start(true).await);
-        let (right, wrong) = (Auto::start(false).await, Auto::start(false).await);
-        let good = |revision, reader: &Auto| {
-            set(revision, &[("r1", "reader", &reader.address), ("w1", "writer", &right.address)])
+        let (old_reader, new_reader) = (Auto::start(true).await, Auto::start(true).await);
+        let (expected_writer, unexpected_writer) = (Auto::start(false).await, Auto::start(false).await);
+        let good_set = |revision, reader: &Auto| {
+            sealed_set(
+                revision,
+                &[("r1", "reader", &reader.address), ("w1", "writer", &expected_writer.address)],
+            )
         };
-        put(0, &folder.file(), good(1, &old).as_bytes());
+        replace_file(0, &folder.file(), good_set(1, &old_reader).as_bytes());
         let config = config("", &[]);
         let operator =
             folder.operator(&format!("expectations {:?} within=\"10s\"", document.display().to_string()));
-        let told = Told::default();
-        let _guard = tracing::subscriber::set_default(told.clone());
+        let log = LogCapture::default();
+        let _guard = tracing::subscriber::set_default(log.clone());
         let conductor = Conductor::start_with(config, &operator).await;
         let ask = async |id: &str| {
             let answer = conductor.ask(id, "ask", 4000).await.rest_of_answer().await;
             assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
         };
         ask("before").await;
-        let servers = [("r1", "reader", &new), ("w1", "writer", &right), ("w2", "writer", &wrong)];
-        let bad = set(2, &servers.map(|(id, kind, at)| (id, kind, at.address.as_str())));
-        put(0, &folder.file(), bad.as_bytes());
-        while told.refused.lock().expect("no panic").is_empty() {
+        let servers = [
+            ("r1", "reader", &new_reader),
+            ("w1", "writer", &expected_writer),
+            ("w2", "writer", &unexpected_writer),
+        ];
+        let bad_set = sealed_set(2, &servers.map(|(id, kind, at)| (id, kind, at.address.as_str())));
+        replace_file(0, &folder.file(), bad_set.as_bytes());
+        while log.refused.lock().expect("no panic").is_empty() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        let refused = told.refused.lock().expect("no panic").join("\n");
+        let refused = log.refused.lock().expect("no panic").join("\n");
         assert!(refused.contains("the expectation 'w1 writes' fails: request 1: it went to w2"), "{refused}");
         ask("between").await;
-        put(0, &folder.file(), good(3, &new).as_bytes());
+        replace_file(0, &folder.file(), good_set(3, &new_reader).as_bytes());
         let mut n = 0;
-        while new.arrivals().is_empty() {
+        while new_reader.arrivals().is_empty() {
             n += 1;
-            // The reader at another address is cold: some are refused until its turn comes.
+            // The reader at another address is cold: some requests are refused until it is chosen.
             let mut client = conductor.ask(&format!("after{n}"), "ask", 4000).await;
             client.until("\r\n\r\n").await.expect("an answer");
         }
-        assert_eq!(wrong.arrivals().len(), 0, "what breaks an expectation got nothing");
-        assert!(old.arrivals().iter().any(|arrival| arrival.id == "between"));
+        assert_eq!(unexpected_writer.arrivals().len(), 0, "the refused set got no requests");
+        assert!(old_reader.arrivals().iter().any(|arrival| arrival.id == "between"));
     });
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Who is a member: each decision by itself, and what holds after any sequence of sets and news.
+//! Tests of the membership state machine: single decisions, and the invariants that hold after any sequence
+//! of file sets, discovery updates and time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,13 +10,13 @@
 use milletseam::membership::*;
 use proptest::prelude::*;
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 const RULES: SetRules = SetRules {
-    quiet_period: 2 * S,
-    min_change_interval: S / 5,
-    drain_period: 10 * S,
+    quiet_period: 2 * SECOND,
+    min_change_interval: SECOND / 5,
+    drain_period: 10 * SECOND,
     max_weight_loss: 0.5,
-    weight_steps: WeightSteps { factor: 1.5, interval: S, initial_fraction: 0.25 },
+    weight_steps: WeightSteps { factor: 1.5, interval: SECOND, initial_fraction: 0.25 },
     trial: None,
 };
 
@@ -28,18 +29,18 @@
     }
 }
 
-/// A sealed file of a data centre; each line is a server's id, address, kind, cell and weight.
-fn text(zone: &str, head: &str, lines: &[&str]) -> String {
+/// A sealed file of a data centre; each entry of `servers` is an id, a port, a kind, a cell and a weight.
+fn text(zone: &str, head: &str, servers: &[&str]) -> String {
     let mut body = format!("servers zone=\"{zone}\" {head}\n");
-    for line in lines {
-        let [id, address, kind, cell, weight] = line.split(' ').collect::<Vec<_>>()[..] else {
-            panic!("{line}")
+    for server in servers {
+        let [id, address, kind, cell, weight] = server.split(' ').collect::<Vec<_>>()[..] else {
+            panic!("{server}")
         };
         body += &format!(
             "server \"{id}\" address=\"10.0.0.1:{address}\" kind=\"{kind}\" cell={cell} weight={weight}\n"
         );
     }
-    seal::sealed(&body, lines.len())
+    seal::sealed(&body, servers.len())
 }
 
 fn file(name: &str, text: &str) -> Result<Arc<SetFile>, Refusal> {
@@ -49,55 +50,55 @@
 const NAIROBI: [&str; 4] = ["r1 1 reader 0 1", "r2 2 reader 0 1", "w1 3 writer-a 0 1", "w2 4 writer-b 0 1"];
 const MOMBASA: [&str; 4] = ["r3 5 reader 1 1", "r4 6 reader 1 1", "w3 7 writer-a 1 1", "w4 8 writer-b 1 1"];
 
-/// Tells whether a reason is the one that is due.
+/// Returns true if a reason is the expected one.
 type Expected = fn(&Reason) -> bool;
 
-/// A membership under a clock.
-struct Stand {
+/// A membership with a clock, which collects what the membership emits.
+struct Harness {
     membership: Membership,
     now: Micros,
     latest: Option<Arc<Generation>>,
-    published: usize,
+    published_count: usize,
     refused: Vec<Refusal>,
-    saved: usize,
-    /// The trial that is asked for: its number, and nairobi's revision in it.
+    saved_count: usize,
+    /// The trial that is to run: its number, and the revision of nairobi's file in it.
     trial: Option<(u64, u64)>,
-    warned: usize,
-    /// Nairobi's revisions whose trials were stopped.
-    overdue: Vec<u64>,
+    warning_count: usize,
+    /// The revisions of nairobi's file whose trials were stopped.
+    timed_out_revisions: Vec<u64>,
 }
 
-impl Stand {
+impl Harness {
     fn new() -> Self {
-        Stand::by(RULES)
+        Harness::with_rules(RULES)
     }
 
-    fn by(rules: SetRules) -> Self {
+    fn with_rules(rules: SetRules) -> Self {
         let membership = Membership::new(catalog(), rules, true);
         let (latest, refused, trial) = (None, Vec::new(), None);
-        Stand {
+        Harness {
             membership,
-            now: 100 * S,
+            now: 100 * SECOND,
             latest,
-            published: 0,
+            published_count: 0,
             refused,
-            saved: 0,
+            saved_count: 0,
             trial,
-            warned: 0,
-            overdue: Vec::new(),
+            warning_count: 0,
+            timed_out_revisions: Vec::new(),
         }
     }
 
-    /// In service with both data centres at revision 1.
-    fn serving() -> Self {
-        let mut stand = Stand::new();
-        stand.both(&text("nairobi", "revision=1", &NAIROBI), &text("mombasa", "revision=1", &MOMBASA));
-        assert_eq!((stand.published, stand.refused.len()), (1, 0), "{:?}", stand.refused);
-        stand.pass(S);
-        stand
+    /// A harness that has both data centres in service at revision 1.
+    fn in_service() -> Self {
+        let mut harness = Harness::new();
+        harness.scan_both(&text("nairobi", "revision=1", &NAIROBI), &text("mombasa", "revision=1", &MOMBASA));
+        assert_eq!((harness.published_count, harness.refused.len()), (1, 0), "{:?}", harness.refused);
+        harness.advance(SECOND);
+        harness
     }
 
-    fn feed(&mut self, input: Input) {
+    fn process(&mut self, input: Input) {
         let mut out = Vec::new();
         self.membership.handle(self.now, input, &mut out);
         for output in out {
@@ -105,43 +106,43 @@
                 Output::Publish(generation) => {
                     let before = self.latest.as_ref().map_or(0, |latest| latest.number);
                     assert!(generation.number > before, "numbers grow");
-                    self.published += 1;
+                    self.published_count += 1;
                     self.latest = Some(generation);
                 }
-                Output::Save(_) => self.saved += 1,
+                Output::Save(_) => self.saved_count += 1,
                 Output::Refuse(refusal) => self.refused.push(refusal),
                 Output::RefusalsCleared => self.refused.clear(),
                 Output::StartTrial(number, files) => {
-                    assert_eq!(self.trial, None, "one trial at a time");
+                    assert_eq!(self.trial, None, "at most one trial runs");
                     self.trial = Some((number, files["nairobi"].revision.value));
                 }
                 Output::StopTrial(number) => {
                     let (running, revision) = self.trial.take().expect("a trial");
                     assert_eq!(running, number);
-                    self.overdue.push(revision);
+                    self.timed_out_revisions.push(revision);
                 }
-                Output::Warn(_) => self.warned += 1,
+                Output::Warn(_) => self.warning_count += 1,
             }
         }
     }
 
-    fn pass(&mut self, span: Micros) {
+    fn advance(&mut self, span: Micros) {
         let until = self.now + span;
         while let Some(at) = self.membership.next_due().filter(|at| *at <= until) {
             self.now = self.now.max(at);
-            self.feed(Input::Tick);
+            self.process(Input::Tick);
         }
         self.now = until;
     }
 
-    fn both(&mut self, nairobi: &str, mombasa: &str) {
+    fn scan_both(&mut self, nairobi: &str, mombasa: &str) {
         let files = vec![file("nairobi.kdl", nairobi), file("mombasa.kdl", mombasa)];
-        self.feed(Input::Scan(Scan { files, manifest: None }));
+        self.process(Input::Scan(Scan { files, manifest: None }));
     }
 
-    /// Another file for nairobi beside the first one of mombasa.
-    fn nairobi(&mut self, head: &str, lines: &[&str]) {
-        self.both(&text("nairobi", head, lines), &text("mombasa", "revision=1", &MOMBASA));
+    /// Scans a new file for nairobi together with the first file of mombasa.
+    fn nairobi(&mut self, head: &str, servers: &[&str]) {
+        self.scan_both(&text("nairobi", head, servers), &text("mombasa", "revision=1", &MOMBASA));
     }
 
     fn member(&self, id: &str) -> Option<&Member> {
@@ -156,8 +157,8 @@
         self.member(id).expect("a member").entry.weight
     }
 
-    /// The one thing that is refused now.
-    fn reason(&self) -> Reason {
+    /// The reason of the only current refusal.
+    fn only_reason(&self) -> Reason {
         match self.membership.refused() {
             [one] => (*one.reason).clone(),
             all => panic!("not one refusal: {all:?}"),
@@ -166,7 +167,7 @@
 }
 
 #[test]
-fn contradictions_refuse_a_set_whole_and_name_the_place() {
+fn contradictory_set_is_refused_as_a_whole_with_the_location() {
     let with = |line: &'static str| [NAIROBI[0], NAIROBI[1], NAIROBI[2], NAIROBI[3], line];
     let cases: [(&str, Expected); 9] = [
         ("r1 9 reader 0 1", |r| matches!(r, Reason::DuplicateId(id) if id == "r1")),
@@ -183,58 +184,62 @@
         ("r9 9 reader 0 1e6", |r| matches!(r, Reason::WeightOutOfRange(_))),
     ];
     for (line, expected) in cases {
-        let mut stand = Stand::serving();
-        stand.nairobi("revision=2", &with(line));
-        let refusals = stand.membership.refused();
-        let found = refusals.iter().find(|refusal| expected(&refusal.reason));
-        let found = found.unwrap_or_else(|| panic!("{line}: {refusals:?}"));
-        assert!(found.location.line >= 4 && found.location.column > 1, "{line}: {}", found.location);
-        assert_eq!((stand.published, stand.member("r9")), (1, None), "{line}: nothing of it is taken");
+        let mut harness = Harness::in_service();
+        harness.nairobi("revision=2", &with(line));
+        let refusals = harness.membership.refused();
+        let refusal = refusals.iter().find(|refusal| expected(&refusal.reason));
+        let refusal = refusal.unwrap_or_else(|| panic!("{line}: {refusals:?}"));
+        assert!(refusal.location.line >= 4 && refusal.location.column > 1, "{line}: {}", refusal.location);
+        assert_eq!(
+            (harness.published_count, harness.member("r9")),
+            (1, None),
+            "{line}: no part of the set is accepted"
+        );
     }
 }
 
 #[test]
-fn an_unknown_zone_and_a_second_file_for_one_are_refused() {
-    let mut stand = Stand::serving();
-    stand.both(&text("nairoby", "revision=1", &NAIROBI), &text("mombasa", "revision=1", &MOMBASA));
-    let refused = stand.membership.refused();
-    let near =
+fn unknown_zone_and_second_file_for_a_zone_are_refused() {
+    let mut harness = Harness::in_service();
+    harness.scan_both(&text("nairoby", "revision=1", &NAIROBI), &text("mombasa", "revision=1", &MOMBASA));
+    let refused = harness.membership.refused();
+    let suggests_nairobi =
         |r: &Refusal| matches!(&*r.reason, Reason::UnknownName { nearest: Some(n), .. } if n == "nairobi");
-    assert!(refused.iter().any(near), "{refused:?}");
+    assert!(refused.iter().any(suggests_nairobi), "{refused:?}");
     let second = text("nairobi", "revision=2", &NAIROBI[..3]);
     let files = vec![
         file("a.kdl", &text("nairobi", "revision=2", &NAIROBI)),
         file("b.kdl", &second),
         file("mombasa.kdl", &text("mombasa", "revision=1", &MOMBASA)),
     ];
-    stand.feed(Input::Scan(Scan { files, manifest: None }));
-    assert!(matches!(stand.reason(), Reason::DuplicateZone(zone) if zone == "nairobi"));
-    assert_eq!(stand.published, 1);
+    harness.process(Input::Scan(Scan { files, manifest: None }));
+    assert!(matches!(harness.only_reason(), Reason::DuplicateZone(zone) if zone == "nairobi"));
+    assert_eq!(harness.published_count, 1);
 }
 
 #[test]
-fn an_older_revision_comes_back_only_as_a_roll_back_of_the_one_in_service() {
-    let mut stand = Stand::serving();
-    let three = &NAIROBI[..3];
-    stand.nairobi("revision=5", three);
-    assert_eq!(stand.published, 2);
-    stand.pass(S);
-    stand.nairobi("revision=5", &NAIROBI);
-    assert_eq!(stand.reason(), Reason::SameRevision(5));
-    stand.nairobi("revision=4", &NAIROBI);
-    assert_eq!(stand.reason(), Reason::OlderRevision { revision: 4, in_service: 5 });
-    stand.nairobi("revision=4 rollback-of=3", &NAIROBI);
-    assert_eq!(stand.reason(), Reason::RollbackMismatch { named: 3, in_service: 5 });
-    assert_eq!(stand.published, 2);
-    stand.nairobi("revision=4 rollback-of=5", &NAIROBI);
-    assert_eq!((stand.published, stand.state("w2")), (3, Some(ServerState::Ready)));
-}
-
-/// Failure: a slip of the pen empties a data centre.
+fn older_revision_is_accepted_only_as_roll_back_of_the_one_in_service() {
+    let mut harness = Harness::in_service();
+    let without_w2 = &NAIROBI[..3];
+    harness.nairobi("revision=5", without_w2);
+    assert_eq!(harness.published_count, 2);
+    harness.advance(SECOND);
+    harness.nairobi("revision=5", &NAIROBI);
+    assert_eq!(harness.only_reason(), Reason::SameRevision(5));
+    harness.nairobi("revision=4", &NAIROBI);
+    assert_eq!(harness.only_reason(), Reason::OlderRevision { revision: 4, in_service: 5 });
+    harness.nairobi("revision=4 rollback-of=3", &NAIROBI);
+    assert_eq!(harness.only_reason(), Reason::RollbackMismatch { named: 3, in_service: 5 });
+    assert_eq!(harness.published_count, 2);
+    harness.nairobi("revision=4 rollback-of=5", &NAIROBI);
+    assert_eq!((harness.published_count, harness.state("w2")), (3, Some(ServerState::Ready)));
+}
+
+/// Guards against a mistake in a file that leaves a data centre without readers or writers.
 #[test]
-fn what_leaves_too_little_behind_is_held_back_until_it_is_meant() {
-    let zero: Vec<String> = NAIROBI.iter().map(|l| format!("{}0", &l[..l.len() - 1])).collect();
-    let zero: Vec<&str> = zero.iter().map(String::as_str).collect();
+fn change_that_empties_a_role_in_a_zone_is_refused_until_confirmed() {
+    let zero_weights: Vec<String> = NAIROBI.iter().map(|l| format!("{}0", &l[..l.len() - 1])).collect();
+    let zero_weights: Vec<&str> = zero_weights.iter().map(String::as_str).collect();
     type Case<'a> = (&'a [&'a str], Expected);
     let cases: [Case; 3] = [
         (
@@ -242,196 +247,201 @@
             |r| matches!(r, Reason::ZoneWithoutRole { zone, role: Role::Reader } if zone == "nairobi"),
         ),
         (&NAIROBI[..2], |r| matches!(r, Reason::ZoneWithoutRole { role: Role::Writer, .. })),
-        (&zero, |r| matches!(r, Reason::ZoneWithoutRole { role: Role::Reader, .. })),
+        (&zero_weights, |r| matches!(r, Reason::ZoneWithoutRole { role: Role::Reader, .. })),
     ];
-    for (lines, expected) in cases {
-        let mut stand = Stand::serving();
-        stand.nairobi("revision=2", lines);
-        let refused = stand.membership.refused().to_vec();
+    for (servers, expected) in cases {
+        let mut harness = Harness::in_service();
+        harness.nairobi("revision=2", servers);
+        let refused = harness.membership.refused().to_vec();
         assert!(refused.iter().any(|r| expected(&r.reason)), "{refused:?}");
         assert!(refused.iter().all(|r| r.reason.can_be_confirmed() && r.location.line == 1), "{refused:?}");
-        assert_eq!(stand.published, 1);
-        let meant = |revision: u64| {
-            let body = text("nairobi", "revision=2", lines);
+        assert_eq!(harness.published_count, 1);
+        let with_confirmation = |revision: u64| {
+            let body = text("nairobi", "revision=2", servers);
             let body = seal::unsealed(&body).expect("a seal");
-            seal::sealed(&format!("{body}meant revision={revision} reason=\"repair\"\n"), lines.len())
+            seal::sealed(&format!("{body}meant revision={revision} reason=\"repair\"\n"), servers.len())
         };
         let mombasa = text("mombasa", "revision=1", &MOMBASA);
-        stand.both(&meant(1), &mombasa);
+        harness.scan_both(&with_confirmation(1), &mombasa);
         assert_eq!(
-            stand.reason(),
+            harness.only_reason(),
             Reason::ConfirmationMismatch { named: 1, revision: 2 },
-            "an old word does not count"
+            "a confirmation of an older revision does not count"
         );
-        stand.both(&meant(2), &mombasa);
-        assert_eq!((stand.published, stand.membership.refused().len()), (2, 0));
+        harness.scan_both(&with_confirmation(2), &mombasa);
+        assert_eq!((harness.published_count, harness.membership.refused().len()), (2, 0));
     }
 }
 
 #[test]
-fn more_than_the_configured_part_of_a_role_does_not_leave_at_once() {
-    let mut stand = Stand::serving();
-    let less = ["r1 1 reader 0 0.1", "w1 3 writer-a 0 1", "w2 4 writer-b 0 1"];
+fn weight_loss_above_the_limit_is_refused_and_a_smaller_one_is_accepted() {
+    let mut harness = Harness::in_service();
+    let reduced = ["r1 1 reader 0 0.1", "w1 3 writer-a 0 1", "w2 4 writer-b 0 1"];
     let mombasa = ["r3 5 reader 1 0.5", "r4 6 reader 1 0.3", "w3 7 writer-a 1 1", "w4 8 writer-b 1 1"];
-    stand.both(&text("nairobi", "revision=2", &less), &text("mombasa", "revision=2", &mombasa));
+    harness.scan_both(&text("nairobi", "revision=2", &reduced), &text("mombasa", "revision=2", &mombasa));
     let share = |r: &Refusal| matches!(*r.reason, Reason::ExcessiveWeightLoss { role: Role::Reader, share, .. } if (share - 0.775).abs() < 1e-9);
-    assert!(stand.membership.refused().iter().any(share), "{:?}", stand.membership.refused());
-    assert_eq!(stand.published, 1);
-    // The same in two steps of less is believed.
-    stand.nairobi("revision=2", &less);
-    stand.pass(S);
-    assert_eq!((stand.published, stand.weight("r1")), (2, 0.1));
+    assert!(harness.membership.refused().iter().any(share), "{:?}", harness.membership.refused());
+    assert_eq!(harness.published_count, 1);
+    // A part of the same loss, below the limit, is accepted.
+    harness.nairobi("revision=2", &reduced);
+    harness.advance(SECOND);
+    assert_eq!((harness.published_count, harness.weight("r1")), (2, 0.1));
 }
 
 #[test]
-fn who_leaves_drains_first_and_who_returns_in_time_is_the_same_server() {
-    let mut stand = Stand::serving();
-    stand.nairobi("revision=2", &NAIROBI[..3]);
-    assert_eq!(stand.state("w2"), Some(ServerState::Draining));
-    stand.pass(9 * S);
-    assert_eq!(stand.state("w2"), Some(ServerState::Draining));
-    stand.nairobi("revision=3", &NAIROBI);
-    let back = stand.member("w2").expect("it is back").entry;
-    assert_eq!((back.state, back.started), (ServerState::Ready, None), "the same process");
-    stand.pass(S);
-    stand.nairobi("revision=4", &NAIROBI[..3]);
-    stand.pass(11 * S);
-    assert_eq!(stand.state("w2"), None, "gone after its drain");
-    stand.nairobi("revision=5", &NAIROBI);
-    let again = stand.member("w2").expect("it is back").entry;
-    assert_eq!(again.started, Some(stand.now), "after its drain it is a new process, cold");
+fn removed_server_drains_first_and_is_the_same_process_if_it_returns_in_time() {
+    let mut harness = Harness::in_service();
+    harness.nairobi("revision=2", &NAIROBI[..3]);
+    assert_eq!(harness.state("w2"), Some(ServerState::Draining));
+    harness.advance(9 * SECOND);
+    assert_eq!(harness.state("w2"), Some(ServerState::Draining));
+    harness.nairobi("revision=3", &NAIROBI);
+    let back = harness.member("w2").expect("it is back").entry;
+    assert_eq!((back.state, back.started), (ServerState::Ready, None), "it is the same process");
+    harness.advance(SECOND);
+    harness.nairobi("revision=4", &NAIROBI[..3]);
+    harness.advance(11 * SECOND);
+    assert_eq!(harness.state("w2"), None, "it is removed after its drain");
+    harness.nairobi("revision=5", &NAIROBI);
+    let again = harness.member("w2").expect("it is back").entry;
+    assert_eq!(again.started, Some(harness.now), "after its drain it is a new, cold process");
 }
 
 #[test]
-fn an_id_at_another_address_is_a_new_process() {
-    let mut stand = Stand::serving();
+fn id_at_another_address_is_a_new_process() {
+    let mut harness = Harness::in_service();
     let moved = [NAIROBI[0], NAIROBI[1], NAIROBI[2], "w2 44 writer-b 0 1"];
-    stand.nairobi("revision=2", &moved);
-    let member = stand.member("w2").expect("a member");
-    assert_eq!((&*member.address, member.entry.started), ("10.0.0.1:44", Some(stand.now)));
-    assert_eq!(stand.member("w1").expect("a member").entry.started, None);
+    harness.nairobi("revision=2", &moved);
+    let member = harness.member("w2").expect("a member");
+    assert_eq!((&*member.address, member.entry.started), ("10.0.0.1:44", Some(harness.now)));
+    assert_eq!(harness.member("w1").expect("a member").entry.started, None);
 }
 
 #[test]
-fn a_greater_weight_is_stepped_and_a_smaller_one_holds_at_once() {
-    let mut stand = Stand::serving();
-    stand.nairobi("revision=2", &["r1 1 reader 0 4", "r2 2 reader 0 0.2", NAIROBI[2], NAIROBI[3]]);
-    let mut seen = vec![stand.weight("r1")];
-    assert_eq!(stand.weight("r2"), 0.2);
+fn weight_increase_is_stepped_and_decrease_applies_at_once() {
+    let mut harness = Harness::in_service();
+    harness.nairobi("revision=2", &["r1 1 reader 0 4", "r2 2 reader 0 0.2", NAIROBI[2], NAIROBI[3]]);
+    let mut weights = vec![harness.weight("r1")];
+    assert_eq!(harness.weight("r2"), 0.2);
     for _ in 0..5 {
-        stand.pass(S);
-        seen.push(stand.weight("r1"));
+        harness.advance(SECOND);
+        weights.push(harness.weight("r1"));
     }
-    assert_eq!(seen, [1.5, 2.25, 3.375, 4.0, 4.0, 4.0]);
-    // Less again, in the midst of growing: that holds at once, and the steps end.
-    stand.nairobi("revision=3", &["r1 1 reader 0 8", NAIROBI[1], NAIROBI[2], NAIROBI[3]]);
-    stand.pass(S / 2);
-    stand.nairobi("revision=4", &["r1 1 reader 0 4.5", NAIROBI[1], NAIROBI[2], NAIROBI[3]]);
-    assert_eq!(stand.weight("r1"), 4.5);
-    stand.pass(5 * S);
-    assert_eq!(stand.weight("r1"), 4.5);
+    assert_eq!(weights, [1.5, 2.25, 3.375, 4.0, 4.0, 4.0]);
+    // A lower weight while the weight still grows applies at once and ends the steps.
+    harness.nairobi("revision=3", &["r1 1 reader 0 8", NAIROBI[1], NAIROBI[2], NAIROBI[3]]);
+    harness.advance(SECOND / 2);
+    harness.nairobi("revision=4", &["r1 1 reader 0 4.5", NAIROBI[1], NAIROBI[2], NAIROBI[3]]);
+    assert_eq!(harness.weight("r1"), 4.5);
+    harness.advance(5 * SECOND);
+    assert_eq!(harness.weight("r1"), 4.5);
 }
 
 #[test]
-fn a_file_that_flaps_is_coalesced_to_the_newest() {
-    let mut stand = Stand::serving();
+fn rapid_changes_of_a_file_are_coalesced_to_the_newest() {
+    let mut harness = Harness::in_service();
     for revision in 2..=101 {
         let weight = format!("w2 4 writer-b 0 0.{revision}");
-        stand.nairobi(&format!("revision={revision}"), &[NAIROBI[0], NAIROBI[1], NAIROBI[2], &weight]);
-        stand.pass(S / 100);
+        harness.nairobi(&format!("revision={revision}"), &[NAIROBI[0], NAIROBI[1], NAIROBI[2], &weight]);
+        harness.advance(SECOND / 100);
     }
-    stand.pass(S);
-    assert!((5..=8).contains(&stand.published), "{} in a second", stand.published);
-    let held = &stand.membership.accepted()["nairobi"];
-    assert_eq!(held.revision.value, 101, "the newest counts");
+    harness.advance(SECOND);
+    assert!((5..=8).contains(&harness.published_count), "{} in a second", harness.published_count);
+    let in_service = &harness.membership.accepted()["nairobi"];
+    assert_eq!(in_service.revision.value, 101, "the newest revision is in service");
 }
 
 #[test]
-fn a_file_without_a_seal_rests_and_one_that_lost_its_seal_is_refused() {
-    let mut stand = Stand::new();
+fn unsealed_file_waits_for_the_quiet_period_and_lost_seal_is_refused() {
+    let mut harness = Harness::new();
     let sealed = text("nairobi", "revision=1", &NAIROBI);
-    let bare = seal::unsealed(&sealed).expect("a seal").to_string();
+    let unsealed = seal::unsealed(&sealed).expect("a seal").to_string();
     let mombasa = text("mombasa", "revision=1", &MOMBASA);
-    stand.both(&bare, &mombasa);
-    assert!(stand.state("r1").is_none() && stand.state("r3").is_some());
-    stand.pass(S);
-    let other = bare.replace("weight=1", "weight=2");
-    stand.both(&other, &mombasa);
-    stand.pass(3 * S / 2);
-    assert_eq!(stand.state("r1"), None, "it rests anew when it has changed");
-    stand.pass(S);
-    assert_eq!(stand.weight("r1"), 2.0);
-    stand.both(&text("nairobi", "revision=2", &NAIROBI), &mombasa);
-    stand.pass(S);
-    assert_eq!(stand.weight("r1"), 1.0);
-    stand.both(&bare.replace("revision=1", "revision=3"), &mombasa);
-    stand.pass(10 * S);
-    assert_eq!(stand.reason(), Reason::SealLost);
-    assert_eq!(stand.membership.accepted()["nairobi"].revision.value, 2);
-}
-
-/// Failure: a text that is cut off between two nodes still reads well.
+    harness.scan_both(&unsealed, &mombasa);
+    assert!(harness.state("r1").is_none() && harness.state("r3").is_some());
+    harness.advance(SECOND);
+    let changed = unsealed.replace("weight=1", "weight=2");
+    harness.scan_both(&changed, &mombasa);
+    harness.advance(3 * SECOND / 2);
+    assert_eq!(harness.state("r1"), None, "a change restarts the quiet period");
+    harness.advance(SECOND);
+    assert_eq!(harness.weight("r1"), 2.0);
+    harness.scan_both(&text("nairobi", "revision=2", &NAIROBI), &mombasa);
+    harness.advance(SECOND);
+    assert_eq!(harness.weight("r1"), 1.0);
+    harness.scan_both(&unsealed.replace("revision=1", "revision=3"), &mombasa);
+    harness.advance(10 * SECOND);
+    assert_eq!(harness.only_reason(), Reason::SealLost);
+    assert_eq!(harness.membership.accepted()["nairobi"].revision.value, 2);
+}
+
+/// Guards against accepting a truncated file: text that ends between two nodes is still valid KDL.
 #[test]
-fn a_file_cut_at_any_byte_is_not_taken() {
-    let whole = text("nairobi", "revision=2", &["r1 1 reader 0 2", NAIROBI[1], NAIROBI[2], NAIROBI[3]]);
+fn file_truncated_at_any_byte_is_not_accepted() {
+    let complete = text("nairobi", "revision=2", &["r1 1 reader 0 2", NAIROBI[1], NAIROBI[2], NAIROBI[3]]);
     let mombasa = text("mombasa", "revision=1", &MOMBASA);
-    for cut in 0..whole.len() {
-        let mut stand = Stand::serving();
-        stand.both(&whole[..cut], &mombasa);
-        stand.pass(30 * S);
-        // Without its last line break it is whole.
-        let taken = if cut == whole.len() - 1 { 2 } else { 1 };
-        let revision = stand.membership.accepted()["nairobi"].revision.value;
-        assert_eq!(revision, taken, "cut at {cut}: {:?}", stand.membership.refused());
-        assert_eq!(stand.membership.refused().len(), usize::from(taken == 1), "cut at {cut}");
+    for length in 0..complete.len() {
+        let mut harness = Harness::in_service();
+        harness.scan_both(&complete[..length], &mombasa);
+        harness.advance(30 * SECOND);
+        // A file that only lacks its last line break is complete.
+        let expected = if length == complete.len() - 1 { 2 } else { 1 };
+        let revision = harness.membership.accepted()["nairobi"].revision.value;
+        assert_eq!(revision, expected, "truncated at {length}: {:?}", harness.membership.refused());
+        assert_eq!(harness.membership.refused().len(), usize::from(expected == 1), "truncated at {length}");
     }
 }
 
 #[test]
-fn a_file_that_has_gone_is_no_instruction() {
-    let mut stand = Stand::serving();
+fn missing_file_keeps_its_servers_in_service() {
+    let mut harness = Harness::in_service();
     let mombasa = text("mombasa", "revision=1", &MOMBASA);
-    stand.feed(Input::Scan(Scan { files: vec![file("mombasa.kdl", &mombasa)], manifest: None }));
-    assert_eq!(stand.reason(), Reason::FileMissing("nairobi".into()));
-    stand.feed(Input::Scan(Scan::default()));
-    stand.pass(60 * S);
-    assert_eq!((stand.published, stand.state("r1")), (1, Some(ServerState::Ready)));
-    stand.nairobi("revision=1", &NAIROBI);
-    assert_eq!((stand.membership.refused().len(), stand.published), (0, 1));
+    harness.process(Input::Scan(Scan { files: vec![file("mombasa.kdl", &mombasa)], manifest: None }));
+    assert_eq!(harness.only_reason(), Reason::FileMissing("nairobi".into()));
+    harness.process(Input::Scan(Scan::default()));
+    harness.advance(60 * SECOND);
+    assert_eq!((harness.published_count, harness.state("r1")), (1, Some(ServerState::Ready)));
+    harness.nairobi("revision=1", &NAIROBI);
+    assert_eq!((harness.membership.refused().len(), harness.published_count), (0, 1));
 }
 
 #[test]
-fn a_manifest_makes_files_change_as_one() {
-    let scan = |wanted: [&str; 2], there: [&str; 2]| {
+fn files_of_a_manifest_change_together() {
+    let scan = |in_manifest: [&str; 2], present: [&str; 2]| {
         let names = ["nairobi.kdl", "mombasa.kdl"];
-        let listed = [0, 1].map(|n| (Arc::from(names[n]), seal::digest(wanted[n].as_bytes())));
+        let listed = [0, 1].map(|n| (Arc::from(names[n]), seal::digest(in_manifest[n].as_bytes())));
         let manifest = servers::parse_manifest(&Source::new("manifest.kdl", servers::manifest(&listed)));
-        let files = [0, 1].map(|n| file(names[n], there[n])).to_vec();
+        let files = [0, 1].map(|n| file(names[n], present[n])).to_vec();
         Input::Scan(Scan { files, manifest: Some(manifest) })
     };
     let old = [text("nairobi", "revision=1", &NAIROBI), text("mombasa", "revision=1", &MOMBASA)];
     let new = [text("nairobi", "revision=2", &NAIROBI[..3]), text("mombasa", "revision=2", &MOMBASA[..3])];
     let (old, new) = (old.each_ref().map(String::as_str), new.each_ref().map(String::as_str));
-    let mut stand = Stand::new();
-    stand.feed(scan(old, old));
-    assert_eq!(stand.published, 1);
-    stand.pass(S);
-    for half in [[new[0], old[1]], [old[0], new[1]], [new[0], "servers"], [new[0], new[1]]] {
-        let before = stand.published;
-        stand.feed(scan(new, half));
-        let whole = half == new;
-        assert_eq!(stand.published - before, usize::from(whole), "{:?}", stand.membership.refused());
-        assert_eq!(stand.membership.refused().is_empty(), whole);
+    let mut harness = Harness::new();
+    harness.process(scan(old, old));
+    assert_eq!(harness.published_count, 1);
+    harness.advance(SECOND);
+    for present in [[new[0], old[1]], [old[0], new[1]], [new[0], "servers"], [new[0], new[1]]] {
+        let before = harness.published_count;
+        harness.process(scan(new, present));
+        let complete = present == new;
+        assert_eq!(
+            harness.published_count - before,
+            usize::from(complete),
+            "{:?}",
+            harness.membership.refused()
+        );
+        assert_eq!(harness.membership.refused().is_empty(), complete);
     }
-    stand.pass(S);
-    // Without the manifest the files are not one by one's again.
-    stand.both(&text("nairobi", "revision=3", &NAIROBI), new[1]);
-    assert_eq!((stand.reason(), stand.published), (Reason::ManifestMissing, 2));
+    harness.advance(SECOND);
+    // Once there has been a manifest, its absence does not make the files independent again.
+    harness.scan_both(&text("nairobi", "revision=3", &NAIROBI), new[1]);
+    assert_eq!((harness.only_reason(), harness.published_count), (Reason::ManifestMissing, 2));
 }
 
 #[test]
-fn of_file_and_discovery_the_stricter_state_holds_and_the_file_names_the_members() {
-    let mut stand = Stand::serving();
+fn stricter_state_of_file_and_discovery_applies_and_files_name_the_members() {
+    let mut harness = Harness::in_service();
     let listed = |id: &str, state| ListedServer {
         entry: ServerEntry {
             id: milletseam::protocol::platform::server_number(id),
@@ -443,44 +453,49 @@
         name: id.into(),
         address: "10.9.9.9:1".into(),
     };
-    let news = vec![
+    let listed_servers = vec![
         listed("r1", ServerState::Ready),
         listed("r2", ServerState::Draining),
         listed("w1", ServerState::Gone),
-        listed("stranger", ServerState::Ready),
+        listed("undeclared", ServerState::Ready),
     ];
-    stand.feed(Input::Discovery(ListScope::Full, news));
-    let r1 = stand.member("r1").expect("a member");
+    harness.process(Input::Discovery(ListScope::Full, listed_servers));
+    let r1 = harness.member("r1").expect("a member");
     assert_eq!((r1.entry.started, r1.entry.weight, &*r1.address), (Some(7), 1.0, "10.0.0.1:1"));
-    assert_eq!(stand.state("r2"), Some(ServerState::Draining));
-    assert_eq!((stand.state("w1"), stand.state("stranger")), (None, None));
+    assert_eq!(harness.state("r2"), Some(ServerState::Draining));
+    assert_eq!((harness.state("w1"), harness.state("undeclared")), (None, None));
     assert_eq!(
-        stand.state("w2"),
+        harness.state("w2"),
         Some(ServerState::Ready),
-        "what discovery does not name is as the file says"
+        "a server that discovery does not list has the state in its file"
     );
-    stand.feed(Input::Discovery(ListScope::Full, Vec::new()));
-    assert_eq!(stand.state("w1"), Some(ServerState::Ready));
+    harness.process(Input::Discovery(ListScope::Full, Vec::new()));
+    assert_eq!(harness.state("w1"), Some(ServerState::Ready));
 }
 
 #[test]
-fn a_start_with_bad_files_begins_from_the_set_that_was_kept() {
-    let kept = [("nairobi", &NAIROBI), ("mombasa", &MOMBASA)];
-    let kept = kept
-        .map(|(zone, lines)| file(&format!("{zone}.kdl"), &text(zone, "revision=7", lines)).expect("a file"));
-    let mut stand = Stand::new();
-    stand.feed(Input::Saved(41, kept.to_vec()));
-    assert_eq!(stand.latest.as_ref().map(|g| g.number), Some(42));
-    assert_eq!(stand.member("r1").expect("a member").entry.started, None, "nobody is taken for cold");
-    stand.both("serv", "");
-    assert_eq!((stand.published, stand.membership.refused().len()), (1, 2));
-    stand.both(&text("nairobi", "revision=6", &NAIROBI), &text("mombasa", "revision=8", &MOMBASA[..3]));
-    assert_eq!((stand.published, stand.reason()), (2, Reason::OlderRevision { revision: 6, in_service: 7 }));
-}
-
-/// What may happen to a membership, at random.
+fn start_with_invalid_files_uses_the_saved_set() {
+    let saved_files = [("nairobi", &NAIROBI), ("mombasa", &MOMBASA)];
+    let saved_files = saved_files.map(|(zone, servers)| {
+        file(&format!("{zone}.kdl"), &text(zone, "revision=7", servers)).expect("a file")
+    });
+    let mut harness = Harness::new();
+    harness.process(Input::Saved(41, saved_files.to_vec()));
+    assert_eq!(harness.latest.as_ref().map(|g| g.number), Some(42));
+    assert_eq!(harness.member("r1").expect("a member").entry.started, None, "no server counts as cold");
+    harness.scan_both("serv", "");
+    assert_eq!((harness.published_count, harness.membership.refused().len()), (1, 2));
+    harness
+        .scan_both(&text("nairobi", "revision=6", &NAIROBI), &text("mombasa", "revision=8", &MOMBASA[..3]));
+    assert_eq!(
+        (harness.published_count, harness.only_reason()),
+        (2, Reason::OlderRevision { revision: 6, in_service: 7 })
+    );
+}
+
+/// One step of a random run of the membership.
 #[derive(Clone, Debug)]
-enum Step {
+enum MembershipStep {
     Write {
         zone: bool,
         revision: u64,
@@ -489,162 +504,171 @@
         sealed: bool,
         servers: Vec<(u8, u8, u8)>,
     },
-    Tear {
+    Truncate {
         zone: bool,
         part: f64,
     },
     Remove(bool),
-    Discover {
+    Discovery {
         complete: bool,
         servers: Vec<(u8, u8)>,
     },
-    Pass(Micros),
+    Advance(Micros),
 }
 
-// ---- trials of sets before they are taken
+// ---- trials of sets before they are accepted
 
-fn tried(on_timeout: TimeoutAction) -> Stand {
-    let mut stand =
-        Stand::by(SetRules { trial: Some(TrialRules { time_limit: 3 * S, on_timeout }), ..RULES });
-    stand.nairobi("revision=1", &NAIROBI);
-    assert_eq!((stand.published, stand.trial), (0, Some((1, 1))), "the first set too is tried");
-    stand.found(&[]);
-    assert_eq!((stand.published, stand.revision()), (1, 1));
-    stand.pass(S);
-    stand
+fn harness_with_trials(on_timeout: TimeoutAction) -> Harness {
+    let mut harness = Harness::with_rules(SetRules {
+        trial: Some(TrialRules { time_limit: 3 * SECOND, on_timeout }),
+        ..RULES
+    });
+    harness.nairobi("revision=1", &NAIROBI);
+    assert_eq!((harness.published_count, harness.trial), (0, Some((1, 1))), "the first set is tried too");
+    harness.finish_trial(&[]);
+    assert_eq!((harness.published_count, harness.revision()), (1, 1));
+    harness.advance(SECOND);
+    harness
 }
 
-impl Stand {
-    /// The trial that was asked for ends.
-    fn found(&mut self, against: &[Refusal]) {
+impl Harness {
+    /// Ends the running trial with these refusals.
+    fn finish_trial(&mut self, refusals: &[Refusal]) {
         let (number, _) = self.trial.take().expect("a trial");
-        self.feed(Input::TrialEnded(number, against.to_vec()));
+        self.process(Input::TrialEnded(number, refusals.to_vec()));
     }
 
-    /// Nairobi's revision in service.
+    /// The revision of nairobi's file in service.
     fn revision(&self) -> u64 {
         self.latest.as_ref().map_or(0, |latest| latest.files["nairobi"].revision.value)
     }
 }
 
-fn objection() -> Refusal {
+fn failed_expectation() -> Refusal {
     let reason =
         Reason::ExpectationNotMet { name: "x".into(), verdict: "fails", why: "it went to r9".into() };
     Refusal::new(reason, Location::whole_file("expectations.kdl"))
 }
 
-/// Failure: a set that breaks an expectation goes live, or is tried over and over.
+/// Guards against a set that breaks an expectation going into service or being tried again and again.
 #[test]
-fn a_set_that_fails_its_trial_is_refused_once_and_a_corrected_one_is_taken() {
-    let mut stand = tried(TimeoutAction::Refuse);
-    stand.nairobi("revision=2", &NAIROBI);
-    assert_eq!(stand.trial, Some((2, 2)));
-    stand.found(&[objection()]);
-    assert_eq!((stand.revision(), stand.reason()), (1, *objection().reason));
-    stand.nairobi("revision=2", &NAIROBI);
-    assert_eq!(stand.trial, None, "its content is the same");
-    assert_eq!(stand.reason(), *objection().reason);
-    stand.nairobi("revision=3", &NAIROBI);
-    assert_eq!(stand.trial, Some((3, 3)));
-    stand.found(&[]);
-    assert_eq!((stand.revision(), stand.refused.len()), (3, 0));
-}
-
-/// Failure: while a long trial runs, newer sets are lost, or the older one is published after the newer.
+fn set_that_fails_its_trial_is_refused_once_and_a_corrected_one_is_accepted() {
+    let mut harness = harness_with_trials(TimeoutAction::Refuse);
+    harness.nairobi("revision=2", &NAIROBI);
+    assert_eq!(harness.trial, Some((2, 2)));
+    harness.finish_trial(&[failed_expectation()]);
+    assert_eq!((harness.revision(), harness.only_reason()), (1, *failed_expectation().reason));
+    harness.nairobi("revision=2", &NAIROBI);
+    assert_eq!(harness.trial, None, "its content is the same");
+    assert_eq!(harness.only_reason(), *failed_expectation().reason);
+    harness.nairobi("revision=3", &NAIROBI);
+    assert_eq!(harness.trial, Some((3, 3)));
+    harness.finish_trial(&[]);
+    assert_eq!((harness.revision(), harness.refused.len()), (3, 0));
+}
+
+/// Guards against newer sets being lost while a long trial runs, and against an older set being published
+/// after a newer one.
 #[test]
-fn what_comes_during_a_trial_is_tried_after_it_and_only_the_newest() {
-    let mut stand = tried(TimeoutAction::Refuse);
-    stand.nairobi("revision=2", &NAIROBI);
-    stand.nairobi("revision=3", &NAIROBI);
-    stand.nairobi("revision=4", &NAIROBI);
-    assert_eq!(stand.trial, Some((2, 2)));
-    stand.found(&[]);
-    assert_eq!(stand.revision(), 2);
-    stand.pass(S);
-    assert_eq!(stand.trial, Some((3, 4)));
-    stand.found(&[objection()]);
-    assert_eq!((stand.revision(), stand.trial), (2, None));
-}
-
-/// Failure: a trial that hangs holds up every later change for good, or its late word still counts.
+fn only_the_newest_set_that_arrives_during_a_trial_is_tried_after_it() {
+    let mut harness = harness_with_trials(TimeoutAction::Refuse);
+    harness.nairobi("revision=2", &NAIROBI);
+    harness.nairobi("revision=3", &NAIROBI);
+    harness.nairobi("revision=4", &NAIROBI);
+    assert_eq!(harness.trial, Some((2, 2)));
+    harness.finish_trial(&[]);
+    assert_eq!(harness.revision(), 2);
+    harness.advance(SECOND);
+    assert_eq!(harness.trial, Some((3, 4)));
+    harness.finish_trial(&[failed_expectation()]);
+    assert_eq!((harness.revision(), harness.trial), (2, None));
+}
+
+/// Guards against a hanging trial blocking all later changes, and against its late result still taking
+/// effect.
 #[test]
-fn a_trial_that_does_not_end_has_the_outcome_that_was_set() {
+fn trial_that_times_out_has_the_configured_outcome() {
     for on_timeout in [TimeoutAction::Accept, TimeoutAction::Refuse] {
-        let mut stand = tried(on_timeout);
-        stand.nairobi("revision=2", &NAIROBI);
-        let (number, _) = stand.trial.expect("a trial");
-        stand.pass(3 * S - 1);
-        assert_eq!((stand.revision(), stand.trial.is_some()), (1, true));
-        stand.pass(1);
-        assert_eq!(stand.trial, None, "it is stopped");
-        let (revision, warned) = if on_timeout == TimeoutAction::Accept { (2, 1) } else { (1, 0) };
-        assert_eq!((stand.revision(), stand.warned), (revision, warned));
+        let mut harness = harness_with_trials(on_timeout);
+        harness.nairobi("revision=2", &NAIROBI);
+        let (number, _) = harness.trial.expect("a trial");
+        harness.advance(3 * SECOND - 1);
+        assert_eq!((harness.revision(), harness.trial.is_some()), (1, true));
+        harness.advance(1);
+        assert_eq!(harness.trial, None, "it is stopped");
+        let (revision, warning_count) = if on_timeout == TimeoutAction::Accept { (2, 1) } else { (1, 0) };
+        assert_eq!((harness.revision(), harness.warning_count), (revision, warning_count));
         if on_timeout == TimeoutAction::Refuse {
-            assert_eq!(stand.reason(), Reason::TrialTimedOut { time_limit: 3 * S, accepted: false });
+            assert_eq!(
+                harness.only_reason(),
+                Reason::TrialTimedOut { time_limit: 3 * SECOND, accepted: false }
+            );
         }
-        stand.feed(Input::TrialEnded(number, Vec::new()));
-        assert_eq!(stand.revision(), revision);
+        harness.process(Input::TrialEnded(number, Vec::new()));
+        assert_eq!(harness.revision(), revision);
     }
 }
 
-/// A step of a run with trials.
+/// One step of a random run with trials.
 #[derive(Clone, Debug)]
-enum Tried {
+enum TrialStep {
     Set(u64),
-    Found(bool),
-    Pass(Micros),
+    End(bool),
+    Advance(Micros),
 }
 
 proptest! {
-    /// Invariants: *tried* (what is published has held, or its time was up and it is taken all the same), *one* (at
-    /// most one trial runs), *final* (a content that failed is never published) and *live* (in the end the newest
-    /// set that was not refused is in service).
+    /// Invariants:
+    /// - tried: each published set has passed its trial, or the trial timed out and such sets are accepted;
+    /// - single: at most one trial runs at a time (checked by the harness);
+    /// - final: content that has failed its trial is never published;
+    /// - live: in the end the newest set is in service unless it has failed its trial.
     #[test]
-    fn any_sequence_of_sets_and_trials_keeps_them(
+    fn random_sequence_of_sets_and_trials_keeps_the_invariants(
         on_timeout in prop_oneof![Just(TimeoutAction::Accept), Just(TimeoutAction::Refuse)],
         steps in prop::collection::vec(
             prop_oneof![
-                (2u64..40).prop_map(Tried::Set),
-                any::<bool>().prop_map(Tried::Found),
-                (1u64..4 * S).prop_map(Tried::Pass),
+                (2u64..40).prop_map(TrialStep::Set),
+                any::<bool>().prop_map(TrialStep::End),
+                (1u64..4 * SECOND).prop_map(TrialStep::Advance),
             ],
             1..60,
         ),
     ) {
-        let mut stand = tried(on_timeout);
-        let (mut failed, mut held) = (BTreeSet::new(), BTreeSet::from([1]));
+        let mut harness = harness_with_trials(on_timeout);
+        let (mut failed, mut passed) = (BTreeSet::new(), BTreeSet::from([1]));
         let mut newest = 1;
         for step in steps {
             match step {
-                Tried::Set(revision) if revision > newest => {
+                TrialStep::Set(revision) if revision > newest => {
                     newest = revision;
-                    stand.nairobi(&format!("revision={revision}"), &NAIROBI);
+                    harness.nairobi(&format!("revision={revision}"), &NAIROBI);
                 }
-                Tried::Found(good) if stand.trial.is_some() => {
-                    let (_, revision) = stand.trial.expect("a trial");
-                    if good { held.insert(revision) } else { failed.insert(revision) };
-                    stand.found(&(if good { Vec::new() } else { vec![objection()] }));
+                TrialStep::End(passes) if harness.trial.is_some() => {
+                    let (_, revision) = harness.trial.expect("a trial");
+                    if passes { passed.insert(revision) } else { failed.insert(revision) };
+                    harness.finish_trial(&(if passes { Vec::new() } else { vec![failed_expectation()] }));
                 }
-                Tried::Pass(span) => stand.pass(span),
+                TrialStep::Advance(span) => harness.advance(span),
                 _ => {}
             }
-            let known = if on_timeout == TimeoutAction::Accept { &mut held } else { &mut failed };
-            known.extend(stand.overdue.drain(..));
-            let revision = stand.revision();
-            prop_assert!(held.contains(&revision), "tried: {} in {:?}", revision, held);
+            let outcomes = if on_timeout == TimeoutAction::Accept { &mut passed } else { &mut failed };
+            outcomes.extend(harness.timed_out_revisions.drain(..));
+            let revision = harness.revision();
+            prop_assert!(passed.contains(&revision), "tried: {} in {:?}", revision, passed);
             prop_assert!(!failed.contains(&revision), "final: {} in {:?}", revision, failed);
         }
         for _ in 0..4 {
-            if stand.trial.is_some() {
-                stand.found(&[]);
+            if harness.trial.is_some() {
+                harness.finish_trial(&[]);
             }
-            stand.pass(S);
+            harness.advance(SECOND);
         }
-        prop_assert!(stand.revision() == newest || failed.contains(&newest), "live: {}", stand.revision());
+        prop_assert!(harness.revision() == newest || failed.contains(&newest), "live: {}", harness.revision());
     }
 }
 
-fn steps() -> impl Strategy<Value = Vec<Step>> {
+fn membership_steps() -> impl Strategy<Value = Vec<MembershipStep>> {
     let server = (0u8..6, 0u8..3, prop_oneof![Just(0u8), Just(1), Just(4), Just(10)]);
     let write = (
         any::<bool>(),
@@ -654,7 +678,7 @@
         proptest::bool::weighted(0.8),
         proptest::collection::vec(server, 0..7),
     );
-    let write = write.prop_map(|(zone, revision, rollback, meant, sealed, servers)| Step::Write {
+    let write = write.prop_map(|(zone, revision, rollback, meant, sealed, servers)| MembershipStep::Write {
         zone,
         revision,
         rollback,
@@ -664,16 +688,16 @@
     });
     let step = prop_oneof![
         6 => write,
-        1 => (any::<bool>(), 0.0..1.0f64).prop_map(|(zone, part)| Step::Tear { zone, part }),
-        1 => any::<bool>().prop_map(Step::Remove),
+        1 => (any::<bool>(), 0.0..1.0f64).prop_map(|(zone, part)| MembershipStep::Truncate { zone, part }),
+        1 => any::<bool>().prop_map(MembershipStep::Remove),
         2 => (any::<bool>(), proptest::collection::vec((0u8..12, 0u8..3), 0..5))
-            .prop_map(|(complete, servers)| Step::Discover { complete, servers }),
-        4 => (0..3 * S).prop_map(Step::Pass),
+            .prop_map(|(complete, servers)| MembershipStep::Discovery { complete, servers }),
+        4 => (0..3 * SECOND).prop_map(MembershipStep::Advance),
     ];
     proptest::collection::vec(step, 1..40)
 }
 
-fn drawn(
+fn generated_text(
     zone: bool,
     revision: u64,
     rollback: Option<u64>,
@@ -700,33 +724,34 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
-    /// After any sequence of files, torn files, news and time:
-    /// - whole: each member in service stands in a file in service, with its address, kind and cell, and each
-    ///   server of these files is a member unless discovery says that it is gone;
-    /// - sound: the files in service never contradict themselves;
-    /// - drained: nobody vanishes who was in service, except by discovery's word; it drains first;
-    /// - modest: no weight grows beyond its step, none is above what its file wants;
-    /// - ordered: numbers grow, revisions fall only by a roll-back of the one in service.
+    /// Invariants after any sequence of files, truncated files, discovery updates and time:
+    /// - complete: each member in service is declared by a file in service, with its address, kind and cell,
+    ///   and each server of these files is a member unless discovery says that it is gone;
+    /// - consistent: the files in service never contradict each other;
+    /// - drained: a server that was in service drains before it is removed, unless discovery says that it is
+    ///   gone;
+    /// - limited: no weight grows by more than one step, and none exceeds the weight that its file declares;
+    /// - ordered: generation numbers grow, and a revision falls only by a roll-back of the one in service.
     #[test]
-    fn any_sequence_keeps_the_invariants(steps in steps()) {
-        let mut stand = Stand::new();
+    fn random_sequence_of_files_discovery_and_time_keeps_the_invariants(steps in membership_steps()) {
+        let mut harness = Harness::new();
         let mut texts: BTreeMap<bool, String> = BTreeMap::new();
         let mut gone: BTreeSet<ServerId> = BTreeSet::new();
         for step in steps {
-            let before = stand.latest.clone();
+            let before = harness.latest.clone();
             let revisions: BTreeMap<String, u64> =
-                stand.membership.accepted().iter().map(|(zone, f)| (zone.clone(), f.revision.value)).collect();
+                harness.membership.accepted().iter().map(|(zone, f)| (zone.clone(), f.revision.value)).collect();
             match step {
-                Step::Write { zone, revision, rollback, meant, sealed, servers } => {
-                    texts.insert(zone, drawn(zone, revision, rollback, meant, sealed, &servers));
+                MembershipStep::Write { zone, revision, rollback, meant, sealed, servers } => {
+                    texts.insert(zone, generated_text(zone, revision, rollback, meant, sealed, &servers));
                 }
-                Step::Tear { zone, part } => {
+                MembershipStep::Truncate { zone, part } => {
                     if let Some(text) = texts.get_mut(&zone) {
                         text.truncate((text.len() as f64 * part) as usize);
                     }
                 }
-                Step::Remove(zone) => drop(texts.remove(&zone)),
-                Step::Discover { complete, servers } => {
+                MembershipStep::Remove(zone) => drop(texts.remove(&zone)),
+                MembershipStep::Discovery { complete, servers } => {
                     let states = [ServerState::Ready, ServerState::Draining, ServerState::Gone];
                     let listed: Vec<ListedServer> = servers.iter().map(|(n, state)| {
                         let name = format!("s{n}");
@@ -737,55 +762,55 @@
                     if complete {
                         gone.clear();
                     }
-                    for one in &listed {
-                        match one.entry.state {
-                            ServerState::Gone => gone.insert(one.entry.id),
-                            _ => gone.remove(&one.entry.id),
+                    for listed_server in &listed {
+                        match listed_server.entry.state {
+                            ServerState::Gone => gone.insert(listed_server.entry.id),
+                            _ => gone.remove(&listed_server.entry.id),
                         };
                     }
                     let scope = if complete { ListScope::Full } else { ListScope::Changes };
-                    stand.feed(Input::Discovery(scope, listed));
+                    harness.process(Input::Discovery(scope, listed));
                 }
-                Step::Pass(span) => stand.pass(span),
+                MembershipStep::Advance(span) => harness.advance(span),
             }
             let name = |zone: bool| if zone { "nairobi.kdl" } else { "mombasa.kdl" };
             let files = texts.iter().map(|(zone, text)| file(name(*zone), text)).collect();
-            stand.feed(Input::Scan(Scan { files, manifest: None }));
+            harness.process(Input::Scan(Scan { files, manifest: None }));
 
-            let Some(latest) = stand.latest.clone() else { continue };
-            let accepted = stand.membership.accepted();
-            prop_assert!(check::contradictions(&catalog(), accepted).is_empty(), "sound");
+            let Some(latest) = harness.latest.clone() else { continue };
+            let accepted = harness.membership.accepted();
+            prop_assert!(check::contradictions(&catalog(), accepted).is_empty(), "consistent");
             let declared: BTreeMap<ServerId, &DeclaredServer> =
                 accepted.values().flat_map(|f| &f.servers).map(|s| (s.number, s)).collect();
             for member in &latest.members {
                 let entry = member.entry;
                 match declared.get(&entry.id) {
                     Some(server) => {
-                        prop_assert_eq!(&*member.address, server.address.value.as_str(), "whole");
-                        prop_assert!(entry.weight <= server.weight.value, "modest");
+                        prop_assert_eq!(&*member.address, server.address.value.as_str(), "complete");
+                        prop_assert!(entry.weight <= server.weight.value, "limited");
                     }
-                    None => prop_assert_eq!(entry.state, ServerState::Draining, "whole"),
+                    None => prop_assert_eq!(entry.state, ServerState::Draining, "complete"),
                 }
             }
             for id in declared.keys().filter(|id| !gone.contains(id)) {
-                prop_assert!(latest.members.iter().any(|m| m.entry.id == *id), "whole: {id:?} is missing");
+                prop_assert!(latest.members.iter().any(|m| m.entry.id == *id), "complete: {id:?} is missing");
             }
             if let Some(before) = before.filter(|before| before.number < latest.number) {
-                for was in before.members.iter().filter(|m| m.entry.state == ServerState::Ready) {
-                    let is = latest.members.iter().find(|m| m.entry.id == was.entry.id);
-                    // A pause long enough for a whole drain may lie between two looks.
-                    let drained = declared.contains_key(&was.entry.id) || latest.cause == Cause::Time;
-                    prop_assert!(is.is_some() || gone.contains(&was.entry.id) || drained, "drained");
-                    if let Some(is) = is.filter(|is| is.entry.started == was.entry.started && latest.cause == Cause::Files) {
-                        let most = (was.entry.weight * RULES.weight_steps.factor).max(10.0 * RULES.weight_steps.initial_fraction);
-                        prop_assert!(is.entry.weight <= most.max(was.entry.weight), "modest");
+                for old in before.members.iter().filter(|m| m.entry.state == ServerState::Ready) {
+                    let new = latest.members.iter().find(|m| m.entry.id == old.entry.id);
+                    // A step of time may be long enough for a whole drain.
+                    let drained = declared.contains_key(&old.entry.id) || latest.cause == Cause::Time;
+                    prop_assert!(new.is_some() || gone.contains(&old.entry.id) || drained, "drained");
+                    if let Some(new) = new.filter(|new| new.entry.started == old.entry.started && latest.cause == Cause::Files) {
+                        let max_weight = (old.entry.weight * RULES.weight_steps.factor).max(10.0 * RULES.weight_steps.initial_fraction);
+                        prop_assert!(new.entry.weight <= max_weight.max(old.entry.weight), "limited");
                     }
                 }
             }
-            for (zone, held) in stand.membership.accepted() {
-                let was = revisions.get(zone).copied().unwrap_or(0);
-                let back = held.rollback_of.as_ref().is_some_and(|of| of.value == was);
-                prop_assert!(held.revision.value >= was || back, "ordered");
+            for (zone, in_service) in harness.membership.accepted() {
+                let old_revision = revisions.get(zone).copied().unwrap_or(0);
+                let rolled_back = in_service.rollback_of.as_ref().is_some_and(|of| of.value == old_revision);
+                prop_assert!(in_service.revision.value >= old_revision || rolled_back, "ordered");
             }
         }
     }
