--- a/src/membership/diff.rs
+++ b/src/membership/diff.rs
@@ -66,6 +66,7 @@
     pub shares: Vec<Share>,
 }
 
+/// The servers of a set by id, each with its data centre.
 type ById<'a> = BTreeMap<&'a str, (&'a str, &'a DeclaredServer)>;
 
 fn by_id(files: &FilesByZone) -> ById<'_> {
--- a/src/membership/intake.rs
+++ b/src/membership/intake.rs
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Admits the files that the manifest names if all have the digests that it states, or else none.
+    /// Admits the files that the manifest names if all have the digests that it states; otherwise blocks the
+    /// whole scan.
     fn admit_by_manifest(
         &mut self,
         now: Micros,
--- a/src/membership/trial.rs
+++ b/src/membership/trial.rs
@@ -56,10 +56,11 @@
     pub number: u64,
     /// The set, if it is accepted nevertheless.
     pub accepted: Option<Candidate>,
-    /// The refusal to report.
+    /// The refusal that reports the timeout.
     pub refusal: Refusal,
 }
 
+/// A running trial.
 #[derive(Debug)]
 struct Running {
     number: u64,
--- a/tests/files.rs
+++ b/tests/files.rs
@@ -75,6 +75,7 @@
     refused: Arc<Mutex<Vec<String>>>,
 }
 
+/// The fields of a log event that the tests use.
 #[derive(Default)]
 struct EventFields {
     message: String,
@@ -185,6 +186,7 @@
 const WRITE_DURATION: Duration = Duration::from_secs(10);
 const WRITES_PER_SECOND: u64 = 250;
 
+/// The id, kind and address of each server of a set.
 type Servers = Vec<(String, &'static str, String)>;
 
 /// Writes invalid and valid files until `stop` is set; returns the number of writes.
@@ -243,7 +245,7 @@
     let head = wire.until("\r\n\r\n").await.expect("an answer");
     let served = head.starts_with("HTTP/1.1 200");
     if served {
-        let body = wire.until("0\r\n\r\n").await.expect("a whole answer");
+        let body = wire.until("0\r\n\r\n").await.expect("a complete answer");
         assert_eq!(body.matches("[DONE]").count(), 1, "{body}");
     }
     served
@@ -303,7 +305,7 @@
         }
         let (mut request_count, mut served) = (0, Vec::new());
         while let Some(client) = clients.join_next().await {
-            let (client_requests, ids) = client.expect("each request has one whole answer");
+            let (client_requests, ids) = client.expect("each request has one complete answer");
             request_count += client_requests;
             served.extend(ids);
         }
