--- a/src/transport/list/files.rs
+++ b/src/transport/list/files.rs
@@ -18,7 +18,7 @@
 use crate::documents::read::Source;
 use crate::documents::seal;
 use crate::documents::servers::{self, MANIFEST};
-use crate::membership::{Digest, Manifest, Place, Reason, Refusal, Scan, SetFile};
+use crate::membership::{Digest, Location, Manifest, Reason, Refusal, Scan, SetFile};
 
 /// The extension of the files that are read.
 const EXTENSION: &str = "kdl";
@@ -56,7 +56,7 @@
         let names = match self.names() {
             Ok(names) => names,
             Err(error) => {
-                let place = Place::whole(self.path.display().to_string());
+                let place = Location::whole_file(self.path.display().to_string());
                 scan.files.push(Err(Refusal::new(unreadable(&error), place)));
                 return scan;
             }
@@ -96,7 +96,7 @@
 
 /// Reads one whole file. A file of more than `max_bytes` bytes is refused.
 pub fn read(path: &Path, name: &str, max_bytes: u64) -> Result<Source, Refusal> {
-    let refuse = |reason| Refusal::new(reason, Place::whole(name));
+    let refuse = |reason| Refusal::new(reason, Location::whole_file(name));
     let bytes = || -> io::Result<Vec<u8>> {
         // Reading a pipe could block the thread for ever.
         if !fs::metadata(path)?.is_file() {
--- a/src/transport/list/mod.rs
+++ b/src/transport/list/mod.rs
@@ -16,8 +16,8 @@
 use super::hub::message::{Hub, Message};
 use crate::documents::servers::seconds;
 use crate::interface::*;
-use crate::membership::guard::Files;
-use crate::membership::{Input, Listed, Membership, Output, Reason, Refusal, Scan, SetFile};
+use crate::membership::guard::FilesByZone;
+use crate::membership::{Input, ListedServer, Membership, Output, Reason, Refusal, Scan, SetFile};
 use crate::protocol::platform::List;
 use crate::protocol::settings::Names;
 use crate::routing::PoolId;
@@ -53,7 +53,7 @@
 
 /// Tries a set of files and returns the reasons to refuse it, none if it is good. This may take long. It ends early
 /// once the function given as second argument returns false; the result is ignored in that case.
-pub type TrialRunner = Arc<dyn Fn(&Files, &dyn Fn() -> bool) -> Vec<Refusal> + Send + Sync>;
+pub type TrialRunner = Arc<dyn Fn(&FilesByZone, &dyn Fn() -> bool) -> Vec<Refusal> + Send + Sync>;
 
 /// A trial of a set that is running on a thread of its own.
 struct RunningTrial {
@@ -142,7 +142,7 @@
     }
 
     /// Feeds the servers that a document lists, in the same way.
-    pub async fn feed_known_servers(&mut self, listed: Vec<Listed>) {
+    pub async fn feed_known_servers(&mut self, listed: Vec<ListedServer>) {
         self.feed(Input::Discovery(ListScope::Cached, listed)).await;
     }
 
@@ -172,7 +172,7 @@
     /// Feeds the result of a trial to the membership.
     async fn finish_trial(&mut self, number: u64, result: Result<Vec<Refusal>, JoinError>) {
         match result {
-            Ok(refusals) => self.feed(Input::Tried(number, refusals)).await,
+            Ok(refusals) => self.feed(Input::TrialEnded(number, refusals)).await,
             // The membership treats it as a trial that does not end in time.
             Err(error) => tracing::error!(%error, "the trial of a set of servers failed to run to its end"),
         }
@@ -213,11 +213,15 @@
     }
 
     /// Converts discovery's members. Members that name something that the settings don't have are left out.
-    fn to_listed(&self, list: &List) -> Vec<Listed> {
+    fn to_listed(&self, list: &List) -> Vec<ListedServer> {
         let started = |ms| self.clock.at_unix_ms(ms);
         let listed = |member: &crate::protocol::platform::Member| {
             let entry = member.entry(&self.names, started)?;
-            Some(Listed { entry, name: member.id.as_str().into(), address: member.host_port.as_str().into() })
+            Some(ListedServer {
+                entry,
+                name: member.id.as_str().into(),
+                address: member.host_port.as_str().into(),
+            })
         };
         list.members.iter().filter_map(listed).collect()
     }
@@ -277,11 +281,11 @@
                     }
                 }
                 // Nothing is wrong with the file: it has to stand unchanged for a while first.
-                Output::Refuse(refusal) if *refusal.reason == Reason::Resting => {
+                Output::Refuse(refusal) if *refusal.reason == Reason::AwaitingQuietPeriod => {
                     tracing::info!(target: "birchspur::membership", pool = self.pool.0, "not yet in service: {refusal}");
                 }
                 Output::Refuse(refusal) => {
-                    let place = &refusal.place;
+                    let place = &refusal.location;
                     tracing::warn!(
                         target: "birchspur::membership",
                         pool = self.pool.0,
@@ -294,7 +298,7 @@
                 Output::Warn(refusal) => {
                     tracing::warn!(target: "birchspur::membership", pool = self.pool.0, "{refusal}");
                 }
-                Output::Try(number, files) => {
+                Output::StartTrial(number, files) => {
                     if let Some(guard) = self.guard.clone() {
                         let stop = Arc::new(AtomicBool::new(false));
                         let stopped = stop.clone();
@@ -308,7 +312,7 @@
                         trial.stop.store(true, Ordering::Relaxed);
                     }
                 }
-                Output::Settled => {
+                Output::RefusalsCleared => {
                     tracing::info!(target: "birchspur::membership", pool = self.pool.0, "no server file is refused any more");
                 }
             }
