--- a/src/choice.rs
+++ b/src/choice.rs
@@ -1,8 +1,8 @@
-//! Every decision of the router, in the order in which a request meets them. The data that goes in and
-//! comes out (settings, events, actions, ids) is in `src/interface.rs`.
+//! All decisions of the router, in the order in which they apply to a request. The input and output data
+//! (settings, events, actions, ids) is defined in `src/interface.rs`.
 //!
-//! The rule: a prompt goes to the ready reader with the lowest weight x missing tokens + pending load; after
-//! the read, a writer with room in that reader's cell fetches the state and answers.
+//! A prompt goes to the ready reader with the lowest weight x missing tokens + pending load. After the read,
+//! a writer with free capacity in that reader's cell fetches the state and answers.
 
 mod admission;
 mod eligibility;
@@ -19,316 +19,371 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use self::health::learn;
-use self::kept_prefixes::{KeptPrefixes, Key, keys};
-use self::ranking::ranked;
+use self::health::record_outcome;
+use self::kept_prefixes::{KeptKey, KeptPrefixes, kept_keys};
+use self::ranking::rank_candidates;
 use crate::interface::*;
 use crate::pace::{PACE_HALF_LIFE, Pace};
 use crate::roster::{Roster, SampleSize, rendezvous_hash};
 use crate::slow_start::{Draw, SlowStart, warmth};
 
-/// A writer whose memory share is under this has room.
-const ROOM: f64 = 0.9;
-/// Part of the longest answer that a stream is taken to hold on average, where there is no hint.
-const ANSWER_PART: f64 = 0.25;
-/// Tokens that a read costs besides its own (steps, network), so that short reads don't look slow.
-const READ_OVERHEAD: f64 = 300.0;
-/// A report older than this says nothing any more.
-const REPORT_OLD: Micros = 5_000_000;
-/// Pace of a reader in tokens a second before any read was seen.
-const FIRST_PACE: f64 = 12_000.0;
-/// An attempt gets this multiple of its expected time before its server is asked after...
-const PATIENCE: f64 = 4.0;
-/// ... but never less than this: reports and clocks are coarse.
-const PATIENCE_LEAST: Micros = 800_000;
-/// Half of what is known of a server's errors is forgotten in this time.
-const FAULT_HALF_LIFE: f64 = 2.5e6;
-/// Part of a cold server's budget that is used; the rest is for chance, and for what was not drawn before.
-const COLD_PART: f64 = 0.5;
-/// Advice to a client turned away for want of capacity: the answer comes at once, its next try later.
-const RETRY_AFTER: Micros = 1_000_000;
-/// Pause before a request that found no server looks again, or its client if the attempts are used up: other
-/// dispatchers may be let in.
-const CHOOSE_AGAIN_AFTER: Micros = 50_000;
-/// Averages and old entries are seen to this often.
-const MAINTENANCE_EVERY: Micros = 200_000;
-/// Before a choice, up to this many of the best candidates are asked for a report...
-const REPORTS_ASKED: f64 = 3.0;
-/// ... if all that asking costs at most this part of the result at either choice...
-const REPORT_SPEND: f64 = 0.01;
-/// ... of those whose last report is no longer fresh, that is older than this...
-const FRESH: Micros = 300_000;
-/// ... and the choice waits for this part of the shortest aim.
-const REPORT_WAIT: f64 = 0.015;
-
-/// Up to so many servers of a role a choice looks at all, beyond that at those that keep the text and at some
-/// drawn at random: the best of many is little better than the best of some (docs/design/watched-files.md).
+/// A writer has capacity for another stream while its memory share is below this.
+const MAX_WRITER_MEMORY_SHARE: f64 = 0.9;
+/// The fraction of the longest possible answer that a stream is assumed to hold on average if there is no hint.
+const MEAN_ANSWER_FRACTION: f64 = 0.25;
+/// Fixed cost of a read (steps, network) in tokens, added so that short reads do not make a server look slow.
+const READ_OVERHEAD_TOKENS: f64 = 300.0;
+/// A load report older than this is ignored.
+const REPORT_MAX_AGE: Micros = 5_000_000;
+/// Read rate of a reader in tokens per second before any read has been observed.
+const INITIAL_READ_RATE: f64 = 12_000.0;
+/// An attempt is overdue, and its server is checked, after this multiple of its expected time...
+const OVERDUE_MULTIPLE: f64 = 4.0;
+/// ... but not before this time, because reports and clocks are coarse.
+const MIN_OVERDUE_AFTER: Micros = 800_000;
+/// Half-life of the observed outcomes from which a server's error rate is computed.
+const ERROR_HALF_LIFE_US: f64 = 2.5e6;
+/// The fraction of a cold server's budget that is used. The rest covers random variation and tokens that were
+/// earned earlier and not drawn.
+const COLD_BUDGET_FRACTION: f64 = 0.5;
+/// Retry delay advised to a client that is refused for lack of capacity. The refusal itself is sent at once.
+const CAPACITY_RETRY_AFTER: Micros = 1_000_000;
+/// Pause before a request for which no server was found is tried again, and the retry delay advised to its client
+/// when its attempts are used up: other dispatchers may be admitted.
+const RESELECT_AFTER: Micros = 50_000;
+/// Interval at which averages are recomputed and expired entries are dropped.
+const MAINTENANCE_INTERVAL: Micros = 200_000;
+/// Before a choice, up to this many of the best candidates are probed for a report...
+const MAX_PROBES_PER_CHOICE: f64 = 3.0;
+/// ... as far as the probes of a choice cost at most this fraction of the result...
+const MAX_PROBE_COST: f64 = 0.01;
+/// ... if their last report is older than this...
+const FRESH_REPORT_AGE: Micros = 300_000;
+/// ... and the choice waits for this fraction of the shortest aim.
+const REPORT_WAIT_FRACTION: f64 = 0.015;
+
+/// In a role with up to `all` servers, a choice considers each of them. In a larger one it considers the servers that
+/// keep the request's text and `some` drawn at random: the best of many is little better than the best of a few
+/// (docs/design/watched-files.md).
 const SAMPLE: SampleSize = SampleSize { all: 128, some: 24 };
 
+/// What is known of one listed server.
 #[derive(Default)]
 struct Server {
     entry: ServerEntry,
     role: Role,
-    memory: f64,
-    weight: f64, // its capacity against the mean of its role; 0 takes nothing new
+    memory_tokens: f64,
+    /// Capacity relative to the mean of its role; a server of weight 0 takes nothing new.
+    weight: f64,
     kept: KeptPrefixes,
-    unread: f64,               // own prompt tokens sent and not yet read
-    others: f64,               // tokens beyond them that wait there by the last report
-    since: Vec<(Micros, f64)>, // own streams that the last report can't hold yet: when, and the tokens
+    /// Prompt tokens that this dispatcher has sent and the server has not yet read.
+    unread_tokens: f64,
+    /// Tokens beyond those that wait at the server according to its last report.
+    other_waiting_tokens: f64,
+    /// Own streams that the last report cannot include yet: when each was sent, and its tokens.
+    unreported_streams: Vec<(Micros, f64)>,
     report: Report,
-    reported: Option<Micros>,
-    heard: Micros,
-    served_to: Micros, // when the latest of the own attempts was sent that it has read or begun to answer
-    out: u32,          // own attempts out that have not begun to answer
-    streams: u32,      // own answers in the making, or waiting to be
-    pace: Pace,
-    begins: Pace,  // answers begun, and the seconds to their first tokens
-    faults: Pace,  // errors, and all that it ended, as seconds
-    ejected: bool, // no sign of life since a failure
-    broke: bool,   // nor since a connection broke
+    reported_at: Option<Micros>,
+    last_alive_at: Micros,
+    /// Send time of the latest own attempt that the server has read or begun to answer.
+    latest_served_sent_at: Micros,
+    /// Own pending attempts that have not begun to answer.
+    pending_attempts: u32,
+    /// Own answers that are being written or are waiting to be.
+    streams: u32,
+    read_rate: Pace,
+    /// Answers begun without a link between cells, and the seconds to their first tokens.
+    first_token_times: Pace,
+    /// Recent errors as `work`, and recent errors, reads and answers as `seconds`.
+    errors: Pace,
+    /// Set when attempts fail; cleared when the server begins an answer, serves or reads an attempt, or refuses one
+    /// as full or without state.
+    ejected: bool,
+    /// A connection to it was reset; cleared like `ejected`.
+    connection_broken: bool,
     trial_at: Micros,
-    full: BTreeMap<(Option<TenantId>, ClassId), Micros>, // who was turned away as full: until when to rest
-    probed: Micros,
+    /// Tenants and classes that were refused as full, and until when each avoids the server.
+    full_until: BTreeMap<(Option<TenantId>, ClassId), Micros>,
+    probed_at: Micros,
 }
 
+/// One attempt of a request.
 #[derive(Clone, Copy)]
 struct Attempt {
     entry: ServerEntry,
-    sent: Micros,
-    reads: bool, // the prompt is read there
-    tokens: f64, // tokens to be read there, and those before them
-    ahead: f64,
-    crossing: Option<CellId>, // the cell whose link its state has to cross
+    sent_at: Micros,
+    /// The server reads the prompt.
+    reads: bool,
+    /// Prompt tokens that the server has to read for this attempt.
+    missing_tokens: f64,
+    /// Tokens that waited at the server when the attempt was sent.
+    tokens_ahead: f64,
+    /// The reader's cell, if the read state has to cross that cell's link.
+    link_cell: Option<CellId>,
     ended: bool,
     may_have_run: bool,
 }
 
+/// A request that has not been removed yet.
 #[derive(Default)]
-struct Open {
+struct OpenRequest {
     request: Request,
-    came: Micros,
+    arrived_at: Micros,
     attempts: Vec<Attempt>,
-    state: Option<(ServerId, Micros)>, // the reader at which the state waits, and since when no writer has it
+    /// The reader at which the read state waits, and since when no writer has it.
+    read_state: Option<(ServerId, Micros)>,
     started: bool,
-    over: bool, // the final answer is given or no longer owed
-    avoid: Option<ServerId>,
-    asked: bool,        // candidates were asked for reports before the next choice
-    draw_key: u64,      // settles of which cold servers' share it is,
-    draw: Option<Draw>, // and how large that is, once drawn for the next choice
+    /// The final answer has been given or is no longer owed.
+    finished: bool,
+    avoided_server: Option<ServerId>,
+    /// Candidates have been probed for reports before the choice that is due.
+    has_probed: bool,
+    /// Decides which cold servers may be sent the request,
+    draw_key: u64,
+    /// and how large their share is, once it has been drawn for the next choice.
+    draw: Option<Draw>,
 }
 
-impl Open {
-    fn out(&self) -> Option<&Attempt> {
+impl OpenRequest {
+    /// Returns the attempt that has not ended, if there is one.
+    fn pending_attempt(&self) -> Option<&Attempt> {
         self.attempts.last().filter(|a| !a.ended)
     }
 
-    /// A state may be held somewhere.
-    fn holds(&self) -> bool {
+    /// Returns true if a server may still hold a read state for the request.
+    fn may_hold_state(&self) -> bool {
         !self.started && self.attempts.iter().any(|a| a.reads)
     }
 }
 
-enum Wake {
+/// What is done when a timer fires.
+enum TimerTask {
     Maintenance,
     Deadline(RequestId),
-    Patience(RequestId, usize),
-    Again(RequestId),
+    AttemptOverdue(RequestId, usize),
+    Reselect(RequestId),
 }
 
-/// What all servers of a role show together.
+/// Averages over all servers of a role.
 #[derive(Clone, Copy, Default)]
-struct Fleet {
+struct FleetAverages {
     count: f64,
     load: f64,
-    memory: f64,
-    pace: f64,
-    wait: f64,  // seconds from a send to the first token
-    least: f64, // the same at the quickest writer
+    memory_share: f64,
+    read_rate: f64,
+    /// Seconds from a send to the first token.
+    first_token_seconds: f64,
+    /// The same at the quickest writer.
+    min_first_token_seconds: f64,
 }
 
-/// One dispatcher's decisions.
+/// Makes the decisions of one dispatcher.
 pub struct Router {
     settings: Settings,
     rng: Pcg64Mcg,
     servers: BTreeMap<ServerId, Server>,
-    roster: Roster<Key>,
-    out: u32, // own attempts out at all servers that have not begun to answer
-    requests: BTreeMap<RequestId, Open>,
-    due: BTreeMap<(Micros, u64), Wake>,
-    timers: u64,
-    readers: Fleet,
-    writers: Fleet,
-    slow_starts: [SlowStart; 2], // of readers, and of others
-    near_readers: f64,           // those of the own zone
-    offered: Pace, // tokens to be read for the requests that came, taken or not, and their count as seconds
-    first_tokens: Pace,
-    tenants: Vec<Pace>,
-    links: BTreeMap<CellId, Pace>,  // first tokens of states that left the cell
-    looked: Option<Vec<Candidate>>, // those of the present choice, if somebody observes
+    roster: Roster<KeptKey>,
+    /// Own pending attempts at all servers that have not begun to answer.
+    total_pending: u32,
+    requests: BTreeMap<RequestId, OpenRequest>,
+    scheduled_tasks: BTreeMap<(Micros, u64), TimerTask>,
+    last_timer: u64,
+    readers: FleetAverages,
+    writers: FleetAverages,
+    /// Slow start of readers, and of all other servers.
+    slow_starts: [SlowStart; 2],
+    /// The number of readers in this dispatcher's zone.
+    readers_in_zone: f64,
+    /// Tokens to be read for the requests that arrived, admitted or not, and their count as seconds.
+    offered: Pace,
+    /// Answers whose state did not cross a link between cells, and the seconds to their first tokens.
+    local_first_token_times: Pace,
+    tenant_arrivals: Vec<Pace>,
+    /// The same of states that left a cell, by the reader's cell.
+    crossing_first_token_times: BTreeMap<CellId, Pace>,
+    /// The candidates of the present choice, if choices are observed.
+    observed: Option<Vec<Candidate>>,
 }
 
+/// The actions that one event leads to, in the order in which they are carried out.
 type Actions = Vec<Action>;
 
 impl Router {
-    /// A router that knows no servers yet; settings that contradict themselves are refused.
+    /// Creates a router that knows no servers yet. Settings that contradict themselves are refused.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Self, SettingsError> {
         settings.check()?;
-        let none = Pace { at: now, ..Pace::default() };
+        let empty_rate = Pace { at: now, ..Pace::default() };
         Ok(Router {
-            slow_starts: [(); 2].map(|()| SlowStart::new(&settings.rules, COLD_PART)),
-            links: BTreeMap::new(),
-            tenants: vec![none; settings.tenants.len()],
+            slow_starts: [(); 2].map(|()| SlowStart::new(&settings.rules, COLD_BUDGET_FRACTION)),
+            crossing_first_token_times: BTreeMap::new(),
+            tenant_arrivals: vec![empty_rate; settings.tenants.len()],
             settings,
             rng: Pcg64Mcg::seed_from_u64(seed),
             servers: BTreeMap::new(),
             roster: Roster::default(),
-            out: 0,
+            total_pending: 0,
             requests: BTreeMap::new(),
-            due: BTreeMap::new(),
-            timers: 0,
-            readers: Fleet { pace: FIRST_PACE, ..Fleet::default() },
-            writers: Fleet { pace: FIRST_PACE, ..Fleet::default() },
-            near_readers: 0.0,
-            offered: none,
-            first_tokens: Pace::default(),
-            looked: None,
+            scheduled_tasks: BTreeMap::new(),
+            last_timer: 0,
+            readers: FleetAverages { read_rate: INITIAL_READ_RATE, ..FleetAverages::default() },
+            writers: FleetAverages { read_rate: INITIAL_READ_RATE, ..FleetAverages::default() },
+            readers_in_zone: 0.0,
+            offered: empty_rate,
+            local_first_token_times: Pace::default(),
+            observed: None,
         })
     }
 
-    /// From now on each choice is told, as [`Action::Explain`]. What is chosen does not change by it.
+    /// From now on reports each choice as an [`Action::Explain`]. This does not change what is chosen.
     pub fn observe(&mut self) {
-        self.looked = Some(Vec::new());
+        self.observed = Some(Vec::new());
     }
 
-    /// How many servers are listed, and to how many of them nothing is sent now if it can be helped.
+    /// Returns the number of listed servers, and how many of them take no work or are avoided at present.
     pub fn fleet(&self, now: Micros) -> (usize, usize) {
-        let plain = Open::default();
-        let avoids = |s: &&Server| !s.entry.takes_work() || self.avoidance(now, s, &plain).is_some();
-        (self.servers.len(), self.servers.values().filter(avoids).count())
+        let empty_request = OpenRequest::default();
+        let is_avoided =
+            |s: &&Server| !s.entry.takes_work() || self.avoidance(now, s, &empty_request).is_some();
+        (self.servers.len(), self.servers.values().filter(is_avoided).count())
     }
 
-    /// Takes one event and appends what is to be done.
-    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Actions) {
-        if self.timers == 0 {
-            self.wake(now + MAINTENANCE_EVERY, Wake::Maintenance, out);
+    /// Handles one event and appends the resulting actions.
+    pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Actions) {
+        if self.last_timer == 0 {
+            self.set_timer(now + MAINTENANCE_INTERVAL, TimerTask::Maintenance, actions);
             if self.settings.discovery == Discovery::OnRequest {
-                out.push(Action::Watch(true));
+                actions.push(Action::Watch(true));
             }
         }
         match event {
-            Event::List(update) => self.on_list(now, update, out),
-            Event::Request(request) => self.on_request(now, request, out),
+            Event::List(update) => self.on_list(now, update, actions),
+            Event::Request(request) => self.on_request(now, request, actions),
             Event::Started { request, attempt, server, .. } => self.on_started(now, request, attempt, server),
-            Event::Ended(ended) => self.on_ended(now, ended, out),
-            Event::Gone(id) => self.close(id, None, out),
-            Event::StateReleased(id) => self.on_state_released(now, id, out),
-            Event::Timer(_) => self.on_timer(now, out),
+            Event::Ended(ended) => self.on_ended(now, ended, actions),
+            Event::Gone(id) => self.close(id, None, actions),
+            Event::StateReleased(id) => self.on_state_released(now, id, actions),
+            Event::Timer(_) => self.on_timer(now, actions),
             Event::Probed { server, outcome, report, .. } => self.on_probed(now, server, outcome, report),
             Event::Place { .. } | Event::Peer { .. } => {}
         }
     }
 
-    fn on_request(&mut self, now: Micros, request: Request, out: &mut Actions) {
+    fn on_request(&mut self, now: Micros, request: Request, actions: &mut Actions) {
         if self.requests.contains_key(&request.id) {
             return;
         } else if usize::from(request.class.0) >= self.settings.classes.len() {
-            return out.push(Action::Fail(request.id));
+            return actions.push(Action::Fail(request.id));
         }
-        if let Some(tenant) = request.tenant.and_then(|t| self.tenants.get_mut(usize::from(t.0))) {
+        if let Some(tenant) = request.tenant.and_then(|t| self.tenant_arrivals.get_mut(usize::from(t.0))) {
             tenant.add(now, 1.0, 0);
         }
         let id = request.id;
-        let last = request.expires.saturating_sub(self.settings.step);
-        self.wake(last.max(now), Wake::Deadline(id), out);
+        let deadline = request.expires.saturating_sub(self.settings.step);
+        self.set_timer(deadline.max(now), TimerTask::Deadline(id), actions);
         self.slow_starts.iter_mut().filter(|_| !request.resent).for_each(SlowStart::come);
-        self.requests.insert(id, Open { request, came: now, draw_key: self.rng.random(), ..Open::default() });
-        self.advance(now, id, out);
+        self.requests.insert(
+            id,
+            OpenRequest { request, arrived_at: now, draw_key: self.rng.random(), ..OpenRequest::default() },
+        );
+        self.advance(now, id, actions);
     }
 
-    /// Takes a request with no attempt out to its next step: a reader, a writer, a pause or its end.
-    fn advance(&mut self, now: Micros, id: RequestId, out: &mut Actions) {
+    /// Takes a request without a pending attempt to its next step: a reader, a writer, a pause or its end.
+    fn advance(&mut self, now: Micros, id: RequestId, actions: &mut Actions) {
         let held_for = self.settings.rules.held_for();
         let Some(open) = self.requests.get_mut(&id) else { return };
-        if open.over || open.started || open.out().is_some() {
+        if open.finished || open.started || open.pending_attempt().is_some() {
             return;
-        } else if open.state.is_some_and(|(_, since)| now + CHOOSE_AGAIN_AFTER > since + held_for) {
-            // Nobody fetches the state in time: let it go, so that nothing stays pinned.
-            open.state = None;
-            out.push(Action::Release(id));
+        } else if open.read_state.is_some_and(|(_, since)| now + RESELECT_AFTER > since + held_for) {
+            // No writer fetches the state in time: release it, so that no memory stays pinned.
+            open.read_state = None;
+            actions.push(Action::Release(id));
         }
         let Some(open) = self.requests.get(&id) else { return };
-        let left = self.settings.limits.attempts.saturating_sub(open.attempts.len() as u32);
-        // It may have run and must not run again: its client hears so now, not when its aim has passed.
+        let attempts_left = self.settings.limits.attempts.saturating_sub(open.attempts.len() as u32);
+        // If the request may have run and must not run again, its client is told now, not when the aim has passed.
         let class = self.class(&open.request);
-        let spent = open.attempts.iter().any(|a| a.may_have_run && now >= class.repeats_until(a.sent));
-        if left == 0 || spent || now + self.settings.step >= open.request.expires {
-            return self.give_up(id, CHOOSE_AGAIN_AFTER, out);
+        let cannot_repeat =
+            open.attempts.iter().any(|a| a.may_have_run && now >= class.repeats_until(a.sent_at));
+        if attempts_left == 0 || cannot_repeat || now + self.settings.step >= open.request.expires {
+            return self.give_up(id, RESELECT_AFTER, actions);
         }
         let Some(open) = self.requests.get_mut(&id) else { return };
-        let read = open.state.and_then(|(id, _)| open.attempts.iter().rev().find(|a| a.entry.id == id));
-        let read = read.map(|a| (a.entry.cell, self.roster.readers_of(a.entry.cell)));
-        let slow_start = &mut self.slow_starts[usize::from(read.is_some() || self.readers.count <= 0.0)];
-        open.draw.get_or_insert_with(|| slow_start.draw(now, read));
-        let (ranked, new) = match open.state {
+        let read_attempt =
+            open.read_state.and_then(|(id, _)| open.attempts.iter().rev().find(|a| a.entry.id == id));
+        let read_cell = read_attempt.map(|a| (a.entry.cell, self.roster.readers_of(a.entry.cell)));
+        let slow_start = &mut self.slow_starts[usize::from(read_cell.is_some() || self.readers.count <= 0.0)];
+        open.draw.get_or_insert_with(|| slow_start.draw(now, read_cell));
+        let (ranked, needs_read) = match open.read_state {
             Some((reader, _)) => (self.rank_writers(now, id, reader), false),
-            None => (self.rank_readers(now, id, left > 1), true),
+            None => (self.rank_readers(now, id, attempts_left > 1), true),
         };
-        if let Some(looked) = &mut self.looked {
-            let (candidates, ranked) = (std::mem::take(looked), ranked.clone());
-            out.push(Action::Explain(Box::new(Choice { request: id, reads: new, candidates, ranked })));
+        if let Some(observed) = &mut self.observed {
+            let (candidates, ranked) = (std::mem::take(observed), ranked.clone());
+            actions.push(Action::Explain(Box::new(Choice {
+                request: id,
+                reads: needs_read,
+                candidates,
+                ranked,
+            })));
         }
-        if self.request_reports(now, id, &ranked, out) {
+        if self.request_reports(now, id, &ranked, actions) {
             return;
         }
         match ranked.first().copied() {
-            Some(reader) if new && self.should_shed(now, id, reader) => {
-                return self.give_up(id, RETRY_AFTER, out);
+            Some(reader) if needs_read && self.should_shed(now, id, reader) => {
+                return self.give_up(id, CAPACITY_RETRY_AFTER, actions);
             }
-            Some(server) => return self.send(now, id, server, out),
-            None if new && (left < 2 || self.aim_has_passed(now, id)) => {
-                return self.give_up(id, RETRY_AFTER, out);
+            Some(server) => return self.send(now, id, server, actions),
+            None if needs_read && (attempts_left < 2 || self.aim_has_passed(now, id)) => {
+                return self.give_up(id, CAPACITY_RETRY_AFTER, actions);
             }
             None => {}
         }
         let Some(open) = self.requests.get_mut(&id) else { return };
-        (open.draw_key, open.draw) = (self.rng.random(), None); // only cold servers may be left
-        self.wake(now + CHOOSE_AGAIN_AFTER, Wake::Again(id), out);
+        // Only cold servers may be left: draw again.
+        (open.draw_key, open.draw) = (self.rng.random(), None);
+        self.set_timer(now + RESELECT_AFTER, TimerTask::Reselect(id), actions);
     }
 
-    fn on_state_released(&mut self, now: Micros, id: RequestId, out: &mut Actions) {
+    fn on_state_released(&mut self, now: Micros, id: RequestId, actions: &mut Actions) {
         if let Some(open) = self.requests.get_mut(&id) {
-            open.state = None;
-            self.advance(now, id, out);
+            open.read_state = None;
+            self.advance(now, id, actions);
         }
     }
 
-    /// Asks the best candidates for reports before the choice among them, once for each choice. One of
-    /// hundreds of dispatchers hears of a server too seldom by its own sends to know its load.
+    /// Probes the best candidates for reports before the choice among them, once for each choice. With hundreds
+    /// of dispatchers, each sends too seldom to a server to know its load from its own requests. Returns true if
+    /// a probe was sent and the choice waits for it.
     fn request_reports(
         &mut self,
         now: Micros,
         id: RequestId,
         ranked: &[ServerId],
-        out: &mut Actions,
+        actions: &mut Actions,
     ) -> bool {
-        let most = (REPORT_SPEND / self.settings.prices.probe.max(1e-6)).min(REPORTS_ASKED) as usize;
-        let Some(open) = self.requests.get_mut(&id).filter(|open| !open.asked) else { return false };
+        let max_probes =
+            (MAX_PROBE_COST / self.settings.prices.probe.max(1e-6)).min(MAX_PROBES_PER_CHOICE) as usize;
+        let Some(open) = self.requests.get_mut(&id).filter(|open| !open.has_probed) else {
+            return false;
+        };
         if !self.settings.limits.probes || ranked.len() < 2 {
             return false;
         }
-        open.asked = true;
-        let mut any = false;
-        for to in ranked.iter().take(most) {
+        open.has_probed = true;
+        let mut probed_any = false;
+        for to in ranked.iter().take(max_probes) {
             let Some(server) = self.servers.get_mut(to) else { continue };
-            if server.reported.is_none_or(|at| at + FRESH < now) {
-                (any, server.probed) = (true, now);
-                out.push(Action::Probe(*to));
+            if server.reported_at.is_none_or(|at| at + FRESH_REPORT_AGE < now) {
+                (probed_any, server.probed_at) = (true, now);
+                actions.push(Action::Probe(*to));
             }
         }
-        if any {
-            self.wake(now + self.report_wait(), Wake::Again(id), out);
+        if probed_any {
+            self.set_timer(now + self.report_wait(), TimerTask::Reselect(id), actions);
         }
-        any
+        probed_any
     }
 
     fn shortest_aim(&self) -> f64 {
@@ -336,200 +391,209 @@
     }
 
     fn report_wait(&self) -> Micros {
-        ((REPORT_WAIT * self.shortest_aim()) as Micros).min(self.settings.rules.release_within / 4)
+        ((REPORT_WAIT_FRACTION * self.shortest_aim()) as Micros).min(self.settings.rules.release_within / 4)
     }
 
     fn class(&self, request: &Request) -> &Class {
         &self.settings.classes[usize::from(request.class.0)]
     }
 
-    fn send(&mut self, now: Micros, id: RequestId, to: ServerId, out: &mut Actions) {
+    fn send(&mut self, now: Micros, id: RequestId, to: ServerId, actions: &mut Actions) {
         let (Some(open), Some(server)) = (self.requests.get(&id), self.servers.get(&to)) else { return };
         let request = open.request;
-        let reads = open.state.is_none();
+        let reads = open.read_state.is_none();
         let missing = (request.prompt_tokens - server.kept.tokens_of(now, &request)) as f64;
-        let ahead = self.load(now, server, 0.0);
-        let expected = if reads { (ahead + missing) / self.pace(now, server) } else { self.writers.wait };
-        let expected = if server.role == Role::Mixed { expected + self.writers.wait } else { expected };
-        let patience = ((expected * PATIENCE * 1e6) as Micros).max(PATIENCE_LEAST);
+        let tokens_ahead = self.load(now, server, 0.0);
+        let expected = if reads {
+            (tokens_ahead + missing) / self.read_rate(now, server)
+        } else {
+            self.writers.first_token_seconds
+        };
+        let expected =
+            if server.role == Role::Mixed { expected + self.writers.first_token_seconds } else { expected };
+        let overdue_after = ((expected * OVERDUE_MULTIPLE * 1e6) as Micros).max(MIN_OVERDUE_AFTER);
         let hinted = request.hint.map(|hint| (hint / self.class(&request).token_aim.max(1)) as f64 / 2.0);
-        let answer = hinted.unwrap_or(request.max_tokens as f64 * ANSWER_PART);
-        let held = request.prompt_tokens as f64 + answer;
+        let answer = hinted.unwrap_or(request.max_tokens as f64 * MEAN_ANSWER_FRACTION);
+        let held_tokens = request.prompt_tokens as f64 + answer;
 
         let Some(server) = self.servers.get_mut(&to) else { return };
-        (server.out, self.out) = (server.out + 1, self.out + 1);
+        (server.pending_attempts, self.total_pending) = (server.pending_attempts + 1, self.total_pending + 1);
         if reads {
-            server.unread += missing;
+            server.unread_tokens += missing;
             server.kept.record(now, &request);
-            keys(&request).for_each(|(key, _)| self.roster.keep(key, to));
+            kept_keys(&request).for_each(|(key, _)| self.roster.keep(key, to));
         }
         if server.role != Role::Reader {
-            server.since.push((now, held));
+            server.unreported_streams.push((now, held_tokens));
             server.streams += 1;
         }
         let (entry, role) = (server.entry, server.role);
         let Some(open) = self.requests.get_mut(&id) else { return };
-        let from = open.attempts.iter().rev().find(|a| open.state.is_some_and(|(r, _)| r == a.entry.id));
-        let crossing = from.map(|a| a.entry.cell).filter(|cell| *cell != entry.cell);
+        let read_attempt =
+            open.attempts.iter().rev().find(|a| open.read_state.is_some_and(|(r, _)| r == a.entry.id));
+        let link_cell = read_attempt.map(|a| a.entry.cell).filter(|cell| *cell != entry.cell);
         open.attempts.push(Attempt {
             entry,
-            sent: now,
+            sent_at: now,
             reads,
-            tokens: if reads { missing } else { 0.0 },
-            ahead,
-            crossing,
+            missing_tokens: if reads { missing } else { 0.0 },
+            tokens_ahead,
+            link_cell,
             ended: false,
-            may_have_run: role != Role::Reader, // reading has no effect
+            may_have_run: role != Role::Reader, // a read has no effect
         });
         let attempt = open.attempts.len() - 1;
-        let timeout = (!self.settings.limits.cancel).then_some(patience);
-        out.push(Action::Send { request: id, server: to, timeout });
+        let timeout = (!self.settings.limits.cancel).then_some(overdue_after);
+        actions.push(Action::Send { request: id, server: to, timeout });
         if timeout.is_none() {
-            self.wake(now + patience, Wake::Patience(id, attempt), out);
+            self.set_timer(now + overdue_after, TimerTask::AttemptOverdue(id, attempt), actions);
         }
     }
 
     fn on_started(&mut self, now: Micros, id: RequestId, attempt: u32, from: ServerId) {
-        self.hear(now, from, true, None);
+        self.record_contact(now, from, true, None);
         let Some(open) = self.requests.get_mut(&id).filter(|open| !open.started) else { return };
         let Some(&a) = open.attempts.get(attempt as usize).filter(|a| !a.ended) else { return };
         open.started = true;
-        open.state = None;
-        let took = now - a.sent;
-        match a.crossing {
+        open.read_state = None;
+        let took = now - a.sent_at;
+        match a.link_cell {
             _ if a.reads => {}
-            Some(cell) => self.links.entry(cell).or_default().add(now, 1.0, took),
-            None => self.first_tokens.add(now, 1.0, took),
+            Some(cell) => self.crossing_first_token_times.entry(cell).or_default().add(now, 1.0, took),
+            None => self.local_first_token_times.add(now, 1.0, took),
         }
         self.slow_starts[1].bear(now, 1.0);
         if let Some(server) = self.servers.get_mut(&from) {
-            server.served_to = server.served_to.max(a.sent);
-            self.out -= u32::from(server.out > 0);
-            server.out = server.out.saturating_sub(1);
-            server.unread = (server.unread - a.tokens).max(0.0);
+            server.latest_served_sent_at = server.latest_served_sent_at.max(a.sent_at);
+            self.total_pending -= u32::from(server.pending_attempts > 0);
+            server.pending_attempts = server.pending_attempts.saturating_sub(1);
+            server.unread_tokens = (server.unread_tokens - a.missing_tokens).max(0.0);
             if a.reads {
-                server.pace.add(now, a.tokens + a.ahead + READ_OVERHEAD, took);
+                server.read_rate.add(now, a.missing_tokens + a.tokens_ahead + READ_OVERHEAD_TOKENS, took);
                 server.kept.record(now, &open.request);
-            } else if a.crossing.is_none() {
-                server.begins.add(now, 1.0, took);
+            } else if a.link_cell.is_none() {
+                server.first_token_times.add(now, 1.0, took);
             }
         }
     }
 
-    fn on_ended(&mut self, now: Micros, ended: Ended, out: &mut Actions) {
+    fn on_ended(&mut self, now: Micros, ended: Ended, actions: &mut Actions) {
         let (id, from) = (ended.request, ended.server);
         let alive =
             matches!(ended.outcome, Outcome::Served | Outcome::Read | Outcome::Full | Outcome::NoState);
-        self.hear(now, from, alive, ended.report);
+        self.record_contact(now, from, alive, ended.report);
         let Some(open) = self.requests.get_mut(&id) else { return };
         let Some(a) = open.attempts.get_mut(ended.attempt as usize).filter(|a| !a.ended) else { return };
-        (a.ended, open.asked, open.draw_key, open.draw) = (true, false, open.draw_key.wrapping_add(1), None);
+        (a.ended, open.has_probed, open.draw_key, open.draw) =
+            (true, false, open.draw_key.wrapping_add(1), None);
         a.may_have_run &= !ended.outcome.never_ran();
         self.slow_starts[0].bear(now, f64::from(ended.outcome == Outcome::Read));
-        let begun = open.started;
+        let had_started = open.started;
         if let Some(server) = self.servers.get_mut(&from) {
-            if !begun {
-                self.out -= u32::from(server.out > 0);
-                server.out = server.out.saturating_sub(1);
-                server.unread = (server.unread - a.tokens).max(0.0);
+            if !had_started {
+                self.total_pending -= u32::from(server.pending_attempts > 0);
+                server.pending_attempts = server.pending_attempts.saturating_sub(1);
+                server.unread_tokens = (server.unread_tokens - a.missing_tokens).max(0.0);
             }
             server.streams -= u32::from(server.role != Role::Reader && server.streams > 0);
             if matches!(ended.outcome, Outcome::Error | Outcome::Served | Outcome::Read) {
-                server.faults.forget(now, FAULT_HALF_LIFE);
-                server.faults.work += f64::from(ended.outcome == Outcome::Error);
-                server.faults.seconds += 1.0;
+                server.errors.forget(now, ERROR_HALF_LIFE_US);
+                server.errors.work += f64::from(ended.outcome == Outcome::Error);
+                server.errors.seconds += 1.0;
             }
-            learn(now, server, &open.request, a, &ended);
+            record_outcome(now, server, &open.request, a, &ended);
         }
         match ended.outcome {
-            Outcome::Read => open.state = Some((from, now)),
+            Outcome::Read => open.read_state = Some((from, now)),
             Outcome::NoState => {
-                open.state = None;
-                out.push(Action::Release(id));
+                open.read_state = None;
+                actions.push(Action::Release(id));
             }
-            _ => open.avoid = Some(from),
+            _ => open.avoided_server = Some(from),
         }
-        // While connections fail to come up, the time of what is held runs on.
-        if let Some((_, since)) = open.state.as_mut().filter(|_| ended.outcome != Outcome::ConnectFailed) {
+        // A failed connection attempt does not restart the time for which the state may be held.
+        if let Some((_, since)) = open.read_state.as_mut().filter(|_| ended.outcome != Outcome::ConnectFailed)
+        {
             *since = now;
         }
-        // One connection may break at a server that is well; where the process has died, the next one tells.
-        let server = self.servers.get_mut(&from).filter(|_| !begun);
-        let broken =
-            server.is_some_and(|s| ended.outcome == Outcome::Reset && std::mem::replace(&mut s.broke, true));
-        if broken || ended.outcome == Outcome::ConnectFailed && !begun {
-            self.eject(now, from, out);
+        // A single connection may be reset at a healthy server. If its process has died, the next one fails too.
+        let server = self.servers.get_mut(&from).filter(|_| !had_started);
+        let broken = server.is_some_and(|s| {
+            ended.outcome == Outcome::Reset && std::mem::replace(&mut s.connection_broken, true)
+        });
+        if broken || ended.outcome == Outcome::ConnectFailed && !had_started {
+            self.eject(now, from, actions);
         }
         let Some(open) = self.requests.get_mut(&id) else { return };
-        if ended.settled || open.over {
-            open.over = true;
-            if open.holds() {
-                out.push(Action::Release(id));
+        if ended.settled || open.finished {
+            open.finished = true;
+            if open.may_hold_state() {
+                actions.push(Action::Release(id));
             }
-            if open.out().is_none() {
+            if open.pending_attempt().is_none() {
                 self.requests.remove(&id);
             }
             return;
         }
-        self.advance(now, id, out);
+        self.advance(now, id, actions);
     }
 
-    /// The client hears at once, and when to come back: later for want of capacity, soon if only this way was
-    /// blocked, at once if its time ran out.
-    fn give_up(&mut self, id: RequestId, later: Micros, out: &mut Actions) {
+    /// Answers the client at once and advises when to retry: later if capacity is lacking, soon if the attempts
+    /// are used up, at once if its time has run out.
+    fn give_up(&mut self, id: RequestId, delay: Micros, actions: &mut Actions) {
         let Some(open) = self.requests.get(&id).filter(|open| !open.started) else { return };
-        let ran = open.attempts.iter().any(|a| a.may_have_run || !a.ended);
+        let maybe_ran = open.attempts.iter().any(|a| a.may_have_run || !a.ended);
         let refuse = match self.class(&open.request).effect {
             Effect::Safe | Effect::Keyed(KeyGroup::All) => true,
-            Effect::Keyed(KeyGroup::Zone | KeyGroup::Cell) | Effect::Unsafe => !ran,
+            Effect::Keyed(KeyGroup::Zone | KeyGroup::Cell) | Effect::Unsafe => !maybe_ran,
         };
-        let retry_after = Some(later);
+        let retry_after = Some(delay);
         let answer = if refuse { Action::Refuse { request: id, retry_after } } else { Action::Fail(id) };
-        self.close(id, Some(answer), out);
+        self.close(id, Some(answer), actions);
     }
 
-    /// Nothing more is owed after this: the attempt that is out is cancelled, what is held is let go.
-    fn close(&mut self, id: RequestId, answer: Option<Action>, out: &mut Actions) {
-        let Some(open) = self.requests.get_mut(&id).filter(|open| !open.over) else { return };
-        open.over = true;
-        out.extend(answer);
-        if open.out().is_some() && !open.started && self.settings.limits.cancel {
+    /// Finishes a request: cancels the pending attempt and releases any state that is held for it.
+    fn close(&mut self, id: RequestId, answer: Option<Action>, actions: &mut Actions) {
+        let Some(open) = self.requests.get_mut(&id).filter(|open| !open.finished) else { return };
+        open.finished = true;
+        actions.extend(answer);
+        if open.pending_attempt().is_some() && !open.started && self.settings.limits.cancel {
             let attempt = open.attempts.len() as u32 - 1;
-            out.push(Action::Cancel { request: id, attempt });
+            actions.push(Action::Cancel { request: id, attempt });
         }
-        if open.holds() {
-            out.push(Action::Release(id));
+        if open.may_hold_state() {
+            actions.push(Action::Release(id));
         }
-        if open.out().is_none() {
+        if open.pending_attempt().is_none() {
             self.requests.remove(&id);
         }
     }
 
-    fn wake(&mut self, at: Micros, wake: Wake, out: &mut Actions) {
-        self.timers += 1;
-        self.due.insert((at, self.timers), wake);
-        out.push(Action::SetTimer { at, timer: TimerId(self.timers) });
+    fn set_timer(&mut self, at: Micros, task: TimerTask, actions: &mut Actions) {
+        self.last_timer += 1;
+        self.scheduled_tasks.insert((at, self.last_timer), task);
+        actions.push(Action::SetTimer { at, timer: TimerId(self.last_timer) });
     }
 
-    fn on_timer(&mut self, now: Micros, out: &mut Actions) {
-        while let Some(first) = self.due.first_entry().filter(|e| e.key().0 <= now) {
+    fn on_timer(&mut self, now: Micros, actions: &mut Actions) {
+        while let Some(first) = self.scheduled_tasks.first_entry().filter(|e| e.key().0 <= now) {
             match first.remove() {
-                Wake::Maintenance => self.maintain(now, out),
-                Wake::Patience(id, attempt) => self.on_patience(now, id, attempt, out),
-                Wake::Again(id) => self.advance(now, id, out),
-                Wake::Deadline(id) => self.give_up(id, self.settings.step, out),
+                TimerTask::Maintenance => self.maintain(now, actions),
+                TimerTask::AttemptOverdue(id, attempt) => self.on_attempt_overdue(now, id, attempt, actions),
+                TimerTask::Reselect(id) => self.advance(now, id, actions),
+                TimerTask::Deadline(id) => self.give_up(id, self.settings.step, actions),
             }
         }
     }
 
-    fn maintain(&mut self, now: Micros, out: &mut Actions) {
-        self.wake(now + MAINTENANCE_EVERY, Wake::Maintenance, out);
+    fn maintain(&mut self, now: Micros, actions: &mut Actions) {
+        self.set_timer(now + MAINTENANCE_INTERVAL, TimerTask::Maintenance, actions);
         for server in self.servers.values_mut() {
             server.kept.expire(now);
-            server.since.retain(|(at, _)| at + REPORT_OLD > now);
+            server.unreported_streams.retain(|(at, _)| at + REPORT_MAX_AGE > now);
         }
-        let keeps = |key: &Key, id| self.servers.get(&id).is_some_and(|s| s.kept.has(key));
+        let keeps = |key: &KeptKey, id| self.servers.get(&id).is_some_and(|s| s.kept.has(key));
         self.roster.forget(keeps);
-        self.average(now);
+        self.update_averages(now);
     }
 }
--- a/src/choice/kept_prefixes.rs
+++ b/src/choice/kept_prefixes.rs
@@ -1,67 +1,67 @@
-//! The text that a reader is believed to keep, by session and by shared prefix.
+//! The text that a reader is presumed to keep, by session and by shared prefix.
 
 use std::collections::BTreeMap;
 
 use crate::interface::*;
 
-/// How long an entry is believed that is not used: the reader may have dropped its tokens since.
-const KEPT_FOR: Micros = 30_000_000;
+/// How long an unused entry stays valid. The reader may have dropped its tokens since.
+const ENTRY_TTL: Micros = 30_000_000;
 
-/// What a table entry stands for.
+/// The key of a table entry.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Key {
+pub(super) enum KeptKey {
     Session(SessionKey),
     Prefix(PrefixKey),
 }
 
-/// Tokens believed to be kept at a reader, and when they were last used.
-pub(super) struct Kept {
+/// Tokens presumed to be kept at a reader, and when they were last used.
+pub(super) struct KeptEntry {
     pub(super) tokens: u64,
-    pub(super) used: Micros,
+    pub(super) last_used: Micros,
 }
 
-/// The table of one reader.
+/// The table of the text that one reader is presumed to keep.
 #[derive(Default)]
-pub(super) struct KeptPrefixes(BTreeMap<Key, Kept>);
+pub(super) struct KeptPrefixes(BTreeMap<KeptKey, KeptEntry>);
 
 impl KeptPrefixes {
-    /// Prompt tokens that the table holds for the request.
+    /// Returns the number of the request's prompt tokens that the table holds.
     pub(super) fn tokens_of(&self, now: Micros, request: &Request) -> u64 {
-        let believed = |(key, most): (Key, u64)| {
-            let kept = self.0.get(&key).filter(|kept| kept.used + KEPT_FOR > now)?;
-            Some(kept.tokens.min(most))
+        let valid_tokens = |(key, key_tokens): (KeptKey, u64)| {
+            let kept = self.0.get(&key).filter(|kept| kept.last_used + ENTRY_TTL > now)?;
+            Some(kept.tokens.min(key_tokens))
         };
-        keys(request).filter_map(believed).max().unwrap_or(0)
+        kept_keys(request).filter_map(valid_tokens).max().unwrap_or(0)
     }
 
-    /// Notes that the reader keeps the request's prompt, or will.
+    /// Records that the reader keeps the request's prompt, or will once it has read it.
     pub(super) fn record(&mut self, now: Micros, request: &Request) {
-        for (key, tokens) in keys(request) {
-            let kept = self.0.entry(key).or_insert(Kept { tokens, used: now });
-            (kept.tokens, kept.used) = (kept.tokens.max(tokens), now);
+        for (key, tokens) in kept_keys(request) {
+            let kept = self.0.entry(key).or_insert(KeptEntry { tokens, last_used: now });
+            (kept.tokens, kept.last_used) = (kept.tokens.max(tokens), now);
         }
     }
 
-    /// Whether there is an entry, however old.
-    pub(super) fn has(&self, key: &Key) -> bool {
+    /// Returns true if there is an entry for the key, whatever its age.
+    pub(super) fn has(&self, key: &KeptKey) -> bool {
         self.0.contains_key(key)
     }
 
-    /// Drops what has not been used for long.
+    /// Drops expired entries.
     pub(super) fn expire(&mut self, now: Micros) {
-        self.0.retain(|_, kept| kept.used + KEPT_FOR > now);
+        self.0.retain(|_, kept| kept.last_used + ENTRY_TTL > now);
     }
 
-    /// Drops everything: the reader has started anew.
+    /// Drops all entries, because the reader's process is down.
     pub(super) fn clear(&mut self) {
         self.0.clear();
     }
 }
 
-/// The keys under which a request's prompt is kept, and the tokens that each stands for.
-pub(super) fn keys(request: &Request) -> impl Iterator<Item = (Key, u64)> {
-    let session = request.session.map(|key| (Key::Session(key), request.prompt_tokens));
+/// Returns the keys under which a request's prompt is kept, and the number of tokens that each covers.
+pub(super) fn kept_keys(request: &Request) -> impl Iterator<Item = (KeptKey, u64)> {
+    let session = request.session.map(|key| (KeptKey::Session(key), request.prompt_tokens));
     let prefix =
-        request.prefix.map(|key| (Key::Prefix(key), request.prefix_tokens.min(request.prompt_tokens)));
+        request.prefix.map(|key| (KeptKey::Prefix(key), request.prefix_tokens.min(request.prompt_tokens)));
     session.into_iter().chain(prefix)
 }
--- a/src/choice/load_estimate.rs
+++ b/src/choice/load_estimate.rs
@@ -1,114 +1,136 @@
-//! What servers are believed to have to do, from their reports and from own sends.
+//! Estimates of the servers' load, from their reports and from this dispatcher's own sends.
 
 use super::*;
 
-/// A report shows a server as it was up to this long before: sends since then may not be in it.
+/// A report shows a server as it was up to this long before it arrived, so later sends may not be included.
 const REPORT_LAG: Micros = 600_000;
-/// A writer's own times to the first token are mixed with so many at the mean of all.
-const WAIT_PRIOR: f64 = 2.0;
-/// A server's own pace is mixed with so many seconds at the pace of all: one odd read proves little.
-const PACE_PRIOR: f64 = 0.5;
-/// Tokens to read for one request before any came: a queue may be told in requests.
-const FIRST_READ: f64 = 2_000.0;
+/// A writer's own times to the first token are averaged with this many at the mean of all writers.
+const FIRST_TOKEN_PRIOR: f64 = 2.0;
+/// A server's own read rate is averaged with this many seconds at the rate of all, because a single outlier proves
+/// little.
+const READ_RATE_PRIOR_SECONDS: f64 = 0.5;
+/// Tokens assumed for one request before any has arrived. They convert a reported queue that counts requests.
+const INITIAL_READ_TOKENS: f64 = 2_000.0;
 
 impl Router {
-    /// Prompt tokens that wait there: own unread ones, and what a report showed beyond them, less what can
-    /// have been read since, and with what a crowd sent at so many tokens a second in the life of a report.
-    pub(super) fn load(&self, now: Micros, server: &Server, crowd: f64) -> f64 {
-        let others = match server.reported {
-            Some(at) if now - at < REPORT_OLD => {
-                let since = now - at + REPORT_LAG / 2;
-                let sent = crowd * since.min(REPORT_LAG) as f64;
-                server.others + (sent - self.pace(now, server) * since as f64) / 1e6
+    /// Returns the prompt tokens that wait at the server: those sent from here and not yet read, plus what the last
+    /// report showed beyond them, less what can have been read since. `herd_rate`, in tokens per second, adds what
+    /// other dispatchers send until the next report.
+    pub(super) fn load(&self, now: Micros, server: &Server, herd_rate: f64) -> f64 {
+        let other_tokens = match server.reported_at {
+            Some(at) if now - at < REPORT_MAX_AGE => {
+                let elapsed = now - at + REPORT_LAG / 2;
+                let herd_tokens = herd_rate * elapsed.min(REPORT_LAG) as f64;
+                server.other_waiting_tokens
+                    + (herd_tokens - self.read_rate(now, server) * elapsed as f64) / 1e6
             }
-            _ if self.warmth(now, server) < 1.0 => 0.0, // its share keeps it from being full
+            _ if self.warmth(now, server) < 1.0 => 0.0, // slow start keeps its load low
             _ => self.readers.load * server.weight,
         };
-        server.unread + others.max(0.0)
+        server.unread_tokens + other_tokens.max(0.0)
     }
 
-    /// Tokens a second, as seen there of late, leaning on what all show.
-    pub(super) fn pace(&self, now: Micros, server: &Server) -> f64 {
-        let prior = self.readers.pace * self.warmth(now, server) * server.weight;
-        let mut own = server.pace;
+    /// Returns the tokens per second that the server has recently read, averaged with the rate of all servers.
+    pub(super) fn read_rate(&self, now: Micros, server: &Server) -> f64 {
+        let prior = self.readers.read_rate * self.warmth(now, server) * server.weight;
+        let mut own = server.read_rate;
         own.decay(now);
-        (own.work + PACE_PRIOR * prior) / (own.seconds + PACE_PRIOR)
+        (own.work + READ_RATE_PRIOR_SECONDS * prior) / (own.seconds + READ_RATE_PRIOR_SECONDS)
     }
 
-    /// Share of its memory that is held: the last report and own streams since.
+    /// Returns the share of its memory that is in use: by the last report, plus own streams sent since.
     pub(super) fn memory_share(&self, now: Micros, server: &Server) -> f64 {
-        let since: f64 = server.since.iter().map(|(_, tokens)| tokens).sum();
-        let base = match (server.reported, server.report.memory_share) {
-            (Some(at), Some(share)) if now - at < REPORT_OLD => share,
-            _ => self.writers.memory,
+        let unreported: f64 = server.unreported_streams.iter().map(|(_, tokens)| tokens).sum();
+        let base = match (server.reported_at, server.report.memory_share) {
+            (Some(at), Some(share)) if now - at < REPORT_MAX_AGE => share,
+            _ => self.writers.memory_share,
         };
-        base + since / (server.memory * server.weight)
+        base + unreported / (server.memory_tokens * server.weight)
     }
 
-    /// Seconds from a send to the first token, as seen at the writer of late, leaning on all. A state that
-    /// has to cross the link of its reader's cell waits for that too, and it may be slow by itself.
-    pub(super) fn wait(&self, now: Micros, crossing: Option<CellId>, server: &Server) -> f64 {
-        let mean = |mut seen: Pace| {
-            seen.decay(now);
-            (seen.seconds + WAIT_PRIOR * self.writers.wait) / (seen.work + WAIT_PRIOR)
+    /// Returns the seconds from a send to the first token, as recently observed at the writer and averaged with all
+    /// writers. For a state that has to cross the link of its reader's cell (`link_cell`), the observed time over
+    /// that link applies if it is longer, because the link may be slow by itself.
+    pub(super) fn first_token_seconds(&self, now: Micros, link_cell: Option<CellId>, server: &Server) -> f64 {
+        let mean = |mut observed: Pace| {
+            observed.decay(now);
+            (observed.seconds + FIRST_TOKEN_PRIOR * self.writers.first_token_seconds)
+                / (observed.work + FIRST_TOKEN_PRIOR)
         };
-        let link = crossing.and_then(|cell| self.links.get(&cell));
-        mean(server.begins).max(link.map_or(0.0, |link| mean(*link)))
+        let link = link_cell.and_then(|cell| self.crossing_first_token_times.get(&cell));
+        mean(server.first_token_times).max(link.map_or(0.0, |link| mean(*link)))
     }
 
-    pub(super) fn hear(&mut self, now: Micros, from: ServerId, alive: bool, report: Option<Report>) {
-        let read = (self.offered.work + FIRST_READ) / (self.offered.seconds + 1.0);
+    /// Records a report, if there is one, and, if `alive`, that the server has handled an attempt.
+    pub(super) fn record_contact(
+        &mut self,
+        now: Micros,
+        from: ServerId,
+        alive: bool,
+        report: Option<Report>,
+    ) {
+        let tokens_per_request = (self.offered.work + INITIAL_READ_TOKENS) / (self.offered.seconds + 1.0);
         let Some(server) = self.servers.get_mut(&from) else { return };
         if let Some(report) = report {
-            let waiting = report.waiting_tokens.or(report.waiting.map(|count| count * read)).unwrap_or(0.0);
-            server.others = (waiting - server.unread).max(0.0);
+            let waiting = report
+                .waiting_tokens
+                .or(report.waiting.map(|count| count * tokens_per_request))
+                .unwrap_or(0.0);
+            server.other_waiting_tokens = (waiting - server.unread_tokens).max(0.0);
             server.report = report;
-            server.reported = Some(now);
-            server.since.retain(|(at, _)| at + REPORT_LAG >= now);
+            server.reported_at = Some(now);
+            server.unreported_streams.retain(|(at, _)| at + REPORT_LAG >= now);
         }
         if alive {
-            (server.heard, server.ejected, server.broke) = (now, false, false);
+            (server.last_alive_at, server.ejected, server.connection_broken) = (now, false, false);
         }
     }
 
-    pub(super) fn average(&mut self, now: Micros) {
-        self.first_tokens.decay(now);
-        self.writers.wait = (self.first_tokens.seconds + 0.1) / (self.first_tokens.work + 1.0);
-        let (mut near, mut least, mut work, mut seconds) = (0.0, f64::INFINITY, FIRST_PACE, 1.0);
-        let mut sums = [(0.0, Fleet::default()); 2]; // heard, and the rest, of readers and others
-        for (of, slow_start) in self.slow_starts.iter_mut().enumerate() {
-            let servers = self.servers.values().filter(|s| usize::from(s.role != Role::Reader) == of);
+    /// Recomputes the averages over all readers and all other servers.
+    pub(super) fn update_averages(&mut self, now: Micros) {
+        self.local_first_token_times.decay(now);
+        self.writers.first_token_seconds =
+            (self.local_first_token_times.seconds + 0.1) / (self.local_first_token_times.work + 1.0);
+        let (mut in_zone, mut min_seconds, mut work, mut seconds) =
+            (0.0, f64::INFINITY, INITIAL_READ_RATE, 1.0);
+        // Of readers and of all other servers: the number with a valid report, and the sums.
+        let mut sums = [(0.0, FleetAverages::default()); 2];
+        for (role_index, slow_start) in self.slow_starts.iter_mut().enumerate() {
+            let servers = self.servers.values().filter(|s| usize::from(s.role != Role::Reader) == role_index);
             slow_start.count(now, servers.map(|s| (s.entry, s.weight)));
         }
         for server in self.servers.values() {
-            let reading = server.role == Role::Reader;
-            let (heard, fleet) = &mut sums[usize::from(!reading)];
-            if server.reported.is_some_and(|at| now - at < REPORT_OLD) {
-                fleet.load += self.load(now, server, 0.0) - server.unread;
-                fleet.memory += server.report.memory_share.unwrap_or(0.0);
-                *heard += 1.0;
+            let is_reader = server.role == Role::Reader;
+            let (reported_count, fleet) = &mut sums[usize::from(!is_reader)];
+            if server.reported_at.is_some_and(|at| now - at < REPORT_MAX_AGE) {
+                fleet.load += self.load(now, server, 0.0) - server.unread_tokens;
+                fleet.memory_share += server.report.memory_share.unwrap_or(0.0);
+                *reported_count += 1.0;
             }
             fleet.count += 1.0;
-            if reading {
-                near += f64::from(server.entry.zone == self.settings.zone);
-                let mut own = server.pace;
+            if is_reader {
+                in_zone += f64::from(server.entry.zone == self.settings.zone);
+                let mut own = server.read_rate;
                 own.decay(now);
                 work += own.work;
                 seconds += own.seconds;
             } else {
-                least = least.min(self.wait(now, None, server));
+                min_seconds = min_seconds.min(self.first_token_seconds(now, None, server));
             }
         }
-        self.near_readers = near;
-        self.writers.least = if least.is_finite() { least } else { self.writers.wait };
-        for (reading, (heard, sum)) in [true, false].into_iter().zip(sums) {
-            let fleet = if reading { &mut self.readers } else { &mut self.writers };
-            let count = f64::max(heard, 1.0);
-            (fleet.count, fleet.load, fleet.memory) = (sum.count, sum.load / count, sum.memory / count);
-            fleet.pace = work / seconds;
+        self.readers_in_zone = in_zone;
+        self.writers.min_first_token_seconds =
+            if min_seconds.is_finite() { min_seconds } else { self.writers.first_token_seconds };
+        for (is_reader, (reported_count, sum)) in [true, false].into_iter().zip(sums) {
+            let fleet = if is_reader { &mut self.readers } else { &mut self.writers };
+            let count = f64::max(reported_count, 1.0);
+            (fleet.count, fleet.load, fleet.memory_share) =
+                (sum.count, sum.load / count, sum.memory_share / count);
+            fleet.read_rate = work / seconds;
         }
     }
 
+    /// Handles the result of a probe.
     pub(super) fn on_probed(
         &mut self,
         now: Micros,
@@ -116,10 +138,11 @@
         outcome: Outcome,
         report: Option<Report>,
     ) {
-        let told = outcome == Outcome::Served && report.is_none() || outcome == Outcome::Reset;
-        self.hear(now, from, false, report);
-        if let Some(server) = self.servers.get_mut(&from).filter(|_| told) {
-            server.probed = 0; // it has nothing to report yet, or hung up on the probe: that is no silence
+        let answered = outcome == Outcome::Served && report.is_none() || outcome == Outcome::Reset;
+        self.record_contact(now, from, false, report);
+        if let Some(server) = self.servers.get_mut(&from).filter(|_| answered) {
+            // It has nothing to report yet, or its connection was reset: neither counts as unanswered.
+            server.probed_at = 0;
         }
     }
 }
--- a/src/choice/writer_selection.rs
+++ b/src/choice/writer_selection.rs
@@ -1,26 +1,29 @@
-//! The choice of a writer: one with room in the reader's cell, else elsewhere.
+//! The choice of a writer: one with free capacity in the reader's cell, else in another cell.
 
 use super::*;
 
-/// A writer has no room if its first tokens take this multiple of the quickest writer's...
-const SLOW: f64 = 2.0;
-/// ... and this part of the aim: it is slow or jammed, whatever its memory says.
-const SLOW_LEAST: f64 = 0.3;
+/// A writer has no free capacity if its first tokens take at least this multiple of the quickest writer's time...
+const SLOW_WRITER_MULTIPLE: f64 = 2.0;
+/// ... plus this fraction of the aim: it is slow or overloaded, whatever its memory share.
+const SLOW_WRITER_AIM_FRACTION: f64 = 0.3;
 
 impl Router {
-    /// The emptiest writer with room in the reader's cell, else elsewhere, else the near one with fewest own.
+    /// Returns the eligible writers in order of preference: those with free capacity in the reader's cell by memory
+    /// share (mixed servers last), then those with free capacity elsewhere, then the others by the number of own
+    /// streams, the reader's cell first.
     pub(super) fn rank_writers(&mut self, now: Micros, id: RequestId, reader: ServerId) -> Vec<ServerId> {
         let Some(open) = self.requests.get(&id) else { return Vec::new() };
-        let read_at = open.attempts.iter().rev().find(|a| a.entry.id == reader).map(|a| a.entry);
-        let entry = read_at.or(self.servers.get(&reader).map(|s| s.entry));
-        let slow = SLOW_LEAST * self.class(&open.request).aim as f64 / 1e6;
-        let mut found = Vec::new();
-        for sid in self.roster.writers(&mut self.rng, entry.map(|e| e.cell), SAMPLE) {
+        let read_entry = open.attempts.iter().rev().find(|a| a.entry.id == reader).map(|a| a.entry);
+        let reader_entry = read_entry.or(self.servers.get(&reader).map(|s| s.entry));
+        let slow_margin = SLOW_WRITER_AIM_FRACTION * self.class(&open.request).aim as f64 / 1e6;
+        let mut ranks = Vec::new();
+        for sid in self.roster.writers(&mut self.rng, reader_entry.map(|e| e.cell), SAMPLE) {
             let Some(server) = self.servers.get(&sid) else { continue };
-            let near = entry.is_some_and(|e| e.cell == server.entry.cell);
+            let near = reader_entry.is_some_and(|e| e.cell == server.entry.cell);
             let share = self.memory_share(now, server);
-            let wait = self.wait(now, entry.map(|e| e.cell).filter(|_| !near), server);
-            let room = share < ROOM && wait < SLOW * self.writers.least + slow;
+            let wait = self.first_token_seconds(now, reader_entry.map(|e| e.cell).filter(|_| !near), server);
+            let room = share < MAX_WRITER_MEMORY_SHARE
+                && wait < SLOW_WRITER_MULTIPLE * self.writers.min_first_token_seconds + slow_margin;
             let (class, measure) = match (room, near, server.role) {
                 (true, true, Role::Writer) => (0, share),
                 (true, true, _) => (1, share),
@@ -29,15 +32,15 @@
             };
             let ineligible = self.ineligibility(now, server, open, near);
             let avoided = self.avoidance(now, server, open);
-            if let Some(looked) = &mut self.looked {
+            if let Some(observed) = &mut self.observed {
                 let cost = Cost::Write { near, memory: share, wait, room, streams: server.streams };
-                looked.push(Candidate { server: sid, ineligible, avoided, class, cost });
+                observed.push(Candidate { server: sid, ineligible, avoided, class, cost });
             }
             if ineligible.is_none() {
                 let chance = (self.rng.random(), server.weight);
-                found.push((avoided.is_some(), class, measure, chance, sid));
+                ranks.push((avoided.is_some(), class, measure, chance, sid));
             }
         }
-        ranked(found)
+        rank_candidates(ranks)
     }
 }
