--- a/src/choice.rs
+++ b/src/choice.rs
@@ -23,7 +23,7 @@
 use self::kept_prefixes::{KeptKey, KeptPrefixes, kept_keys};
 use self::ranking::rank_candidates;
 use crate::interface::*;
-use crate::pace::{PACE_HALF_LIFE, Pace};
+use crate::pace::{DEFAULT_HALF_LIFE_US, DecayedSums};
 use crate::roster::{Roster, SampleSize, rendezvous_hash};
 use crate::slow_start::{Draw, SlowStart, warmth};
 
@@ -62,10 +62,10 @@
 /// ... and the choice waits for this fraction of the shortest aim.
 const REPORT_WAIT_FRACTION: f64 = 0.015;
 
-/// In a role with up to `all` servers, a choice considers each of them. In a larger one it considers the servers that
-/// keep the request's text and `some` drawn at random: the best of many is little better than the best of a few
-/// (docs/design/watched-files.md).
-const SAMPLE: SampleSize = SampleSize { all: 128, some: 24 };
+/// In a role with up to `full_scan_limit` servers, a choice considers each of them. In a larger one it considers the
+/// servers that keep the request's text and `drawn` others at random: the best of many is little better than the
+/// best of a few (docs/design/watched-files.md).
+const SAMPLE: SampleSize = SampleSize { full_scan_limit: 128, drawn: 24 };
 
 /// What is known of one listed server.
 #[derive(Default)]
@@ -91,11 +91,11 @@
     pending_attempts: u32,
     /// Own answers that are being written or are waiting to be.
     streams: u32,
-    read_rate: Pace,
+    read_rate: DecayedSums,
     /// Answers begun without a link between cells, and the seconds to their first tokens.
-    first_token_times: Pace,
+    first_token_times: DecayedSums,
     /// Recent errors as `work`, and recent errors, reads and answers as `seconds`.
-    errors: Pace,
+    errors: DecayedSums,
     /// Set when attempts fail; cleared when the server begins an answer, serves or reads an attempt, or refuses one
     /// as full or without state.
     ejected: bool,
@@ -195,12 +195,12 @@
     /// The number of readers in this dispatcher's zone.
     readers_in_zone: f64,
     /// Tokens to be read for the requests that arrived, admitted or not, and their count as seconds.
-    offered: Pace,
+    offered: DecayedSums,
     /// Answers whose state did not cross a link between cells, and the seconds to their first tokens.
-    local_first_token_times: Pace,
-    tenant_arrivals: Vec<Pace>,
+    local_first_token_times: DecayedSums,
+    tenant_arrivals: Vec<DecayedSums>,
     /// The same of states that left a cell, by the reader's cell.
-    crossing_first_token_times: BTreeMap<CellId, Pace>,
+    crossing_first_token_times: BTreeMap<CellId, DecayedSums>,
     /// The candidates of the present choice, if choices are observed.
     observed: Option<Vec<Candidate>>,
 }
@@ -212,7 +212,7 @@
     /// Creates a router that knows no servers yet. Settings that contradict themselves are refused.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Self, SettingsError> {
         settings.check()?;
-        let empty_rate = Pace { at: now, ..Pace::default() };
+        let empty_rate = DecayedSums { updated_at: now, ..DecayedSums::default() };
         Ok(Router {
             slow_starts: [(); 2].map(|()| SlowStart::new(&settings.rules, COLD_BUDGET_FRACTION)),
             crossing_first_token_times: BTreeMap::new(),
@@ -229,7 +229,7 @@
             writers: FleetAverages { read_rate: INITIAL_READ_RATE, ..FleetAverages::default() },
             readers_in_zone: 0.0,
             offered: empty_rate,
-            local_first_token_times: Pace::default(),
+            local_first_token_times: DecayedSums::default(),
             observed: None,
         })
     }
@@ -240,7 +240,7 @@
     }
 
     /// Returns the number of listed servers, and how many of them take no work or are avoided at present.
-    pub fn fleet(&self, now: Micros) -> (usize, usize) {
+    pub fn server_counts(&self, now: Micros) -> (usize, usize) {
         let empty_request = OpenRequest::default();
         let is_avoided =
             |s: &&Server| !s.entry.takes_work() || self.avoidance(now, s, &empty_request).is_some();
@@ -280,7 +280,7 @@
         let id = request.id;
         let deadline = request.expires.saturating_sub(self.settings.step);
         self.set_timer(deadline.max(now), TimerTask::Deadline(id), actions);
-        self.slow_starts.iter_mut().filter(|_| !request.resent).for_each(SlowStart::come);
+        self.slow_starts.iter_mut().filter(|_| !request.resent).for_each(SlowStart::record_arrival);
         self.requests.insert(
             id,
             OpenRequest { request, arrived_at: now, draw_key: self.rng.random(), ..OpenRequest::default() },
@@ -311,7 +311,7 @@
         let Some(open) = self.requests.get_mut(&id) else { return };
         let read_attempt =
             open.read_state.and_then(|(id, _)| open.attempts.iter().rev().find(|a| a.entry.id == id));
-        let read_cell = read_attempt.map(|a| (a.entry.cell, self.roster.readers_of(a.entry.cell)));
+        let read_cell = read_attempt.map(|a| (a.entry.cell, self.roster.reader_share(a.entry.cell)));
         let slow_start = &mut self.slow_starts[usize::from(read_cell.is_some() || self.readers.count <= 0.0)];
         open.draw.get_or_insert_with(|| slow_start.draw(now, read_cell));
         let (ranked, needs_read) = match open.read_state {
@@ -365,9 +365,7 @@
     ) -> bool {
         let max_probes =
             (MAX_PROBE_COST / self.settings.prices.probe.max(1e-6)).min(MAX_PROBES_PER_CHOICE) as usize;
-        let Some(open) = self.requests.get_mut(&id).filter(|open| !open.has_probed) else {
-            return false;
-        };
+        let Some(open) = self.requests.get_mut(&id).filter(|open| !open.has_probed) else { return false };
         if !self.settings.limits.probes || ranked.len() < 2 {
             return false;
         }
@@ -421,7 +419,7 @@
         if reads {
             server.unread_tokens += missing;
             server.kept.record(now, &request);
-            kept_keys(&request).for_each(|(key, _)| self.roster.keep(key, to));
+            kept_keys(&request).for_each(|(key, _)| self.roster.add_holder(key, to));
         }
         if server.role != Role::Reader {
             server.unreported_streams.push((now, held_tokens));
@@ -462,7 +460,7 @@
             Some(cell) => self.crossing_first_token_times.entry(cell).or_default().add(now, 1.0, took),
             None => self.local_first_token_times.add(now, 1.0, took),
         }
-        self.slow_starts[1].bear(now, 1.0);
+        self.slow_starts[1].record_served(now, 1.0);
         if let Some(server) = self.servers.get_mut(&from) {
             server.latest_served_sent_at = server.latest_served_sent_at.max(a.sent_at);
             self.total_pending -= u32::from(server.pending_attempts > 0);
@@ -487,7 +485,7 @@
         (a.ended, open.has_probed, open.draw_key, open.draw) =
             (true, false, open.draw_key.wrapping_add(1), None);
         a.may_have_run &= !ended.outcome.never_ran();
-        self.slow_starts[0].bear(now, f64::from(ended.outcome == Outcome::Read));
+        self.slow_starts[0].record_served(now, f64::from(ended.outcome == Outcome::Read));
         let had_started = open.started;
         if let Some(server) = self.servers.get_mut(&from) {
             if !had_started {
@@ -497,7 +495,7 @@
             }
             server.streams -= u32::from(server.role != Role::Reader && server.streams > 0);
             if matches!(ended.outcome, Outcome::Error | Outcome::Served | Outcome::Read) {
-                server.errors.forget(now, ERROR_HALF_LIFE_US);
+                server.errors.decay_with(now, ERROR_HALF_LIFE_US);
                 server.errors.work += f64::from(ended.outcome == Outcome::Error);
                 server.errors.seconds += 1.0;
             }
@@ -593,7 +591,7 @@
             server.unreported_streams.retain(|(at, _)| at + REPORT_MAX_AGE > now);
         }
         let keeps = |key: &KeptKey, id| self.servers.get(&id).is_some_and(|s| s.kept.has(key));
-        self.roster.forget(keeps);
+        self.roster.retain_holders(keeps);
         self.update_averages(now);
     }
 }
--- a/src/choice/admission.rs
+++ b/src/choice/admission.rs
@@ -19,8 +19,8 @@
 const HERD_LIMIT: f64 = 3.0;
 
 impl Router {
-    /// Returns true if the request's aim has passed without a server. Its client is then answered now rather than at its
-    /// deadline.
+    /// Returns true if the request's aim has passed without a server being found. Its client is then answered now
+    /// rather than at its deadline.
     pub(super) fn aim_has_passed(&self, now: Micros, id: RequestId) -> bool {
         self.requests.get(&id).is_some_and(|open| now > open.arrived_at + self.class(&open.request).aim)
     }
@@ -64,7 +64,7 @@
     /// Returns the tokens per second that all other dispatchers send to one reader, if each of them receives the same
     /// load as this one.
     pub(super) fn other_dispatchers_rate(&self) -> f64 {
-        let own = self.offered.work * std::f64::consts::LN_2 / PACE_HALF_LIFE * 1e6;
+        let own = self.offered.work * std::f64::consts::LN_2 / DEFAULT_HALF_LIFE_US * 1e6;
         own * f64::from(self.settings.dispatchers.saturating_sub(1)) / self.readers.count.max(1.0)
     }
 
@@ -77,8 +77,9 @@
         let class = &classes[usize::from(request.class.0)];
         let over_share = request.tenant.map(|t| usize::from(t.0)).is_some_and(|t| {
             let quota = self.settings.tenants.get(t).map_or(0.0, |t| t.quota_per_s);
-            let fair =
-                quota / f64::from(self.settings.dispatchers) / std::f64::consts::LN_2 * PACE_HALF_LIFE / 1e6;
+            let fair = quota / f64::from(self.settings.dispatchers) / std::f64::consts::LN_2
+                * DEFAULT_HALF_LIFE_US
+                / 1e6;
             self.tenant_arrivals
                 .get(t)
                 .is_some_and(|arrivals| arrivals.work > fair + OVER_SHARE_DEVIATIONS * fair.sqrt())
--- a/src/choice/eligibility.rs
+++ b/src/choice/eligibility.rs
@@ -52,8 +52,8 @@
         let draw = open.draw.map_or(0.0, |draw| if near { draw.near } else { draw.far });
         let choices_per_request =
             if server.role == Role::Mixed && self.readers.count > 0.0 { 2.0 } else { 1.0 };
-        let share =
-            self.slow_starts[usize::from(server.role != Role::Reader)].share(draw) / choices_per_request;
+        let share = self.slow_starts[usize::from(server.role != Role::Reader)].share_of_draw(draw)
+            / choices_per_request;
         rendezvous_hash(open.draw_key, server.entry.id) < share * self.warmth(now, server) * server.weight
     }
 
--- a/src/choice/health.rs
+++ b/src/choice/health.rs
@@ -31,7 +31,7 @@
             .get(&(open.request.tenant, open.request.class))
             .is_some_and(|until| now < *until);
         let mut errors = server.errors;
-        errors.forget(now, ERROR_HALF_LIFE_US);
+        errors.decay_with(now, ERROR_HALF_LIFE_US);
         let tolerance = match (server.role, self.class(&open.request).effect) {
             (Role::Reader, _) => 2.0, // a read is quickly repeated, and fewer readers mean longer queues
             (_, Effect::Unsafe) => 0.5,
--- a/src/choice/load_estimate.rs
+++ b/src/choice/load_estimate.rs
@@ -52,7 +52,7 @@
     /// writers. For a state that has to cross the link of its reader's cell (`link_cell`), the observed time over
     /// that link applies if it is longer, because the link may be slow by itself.
     pub(super) fn first_token_seconds(&self, now: Micros, link_cell: Option<CellId>, server: &Server) -> f64 {
-        let mean = |mut observed: Pace| {
+        let mean = |mut observed: DecayedSums| {
             observed.decay(now);
             (observed.seconds + FIRST_TOKEN_PRIOR * self.writers.first_token_seconds)
                 / (observed.work + FIRST_TOKEN_PRIOR)
@@ -97,7 +97,7 @@
         let mut sums = [(0.0, FleetAverages::default()); 2];
         for (role_index, slow_start) in self.slow_starts.iter_mut().enumerate() {
             let servers = self.servers.values().filter(|s| usize::from(s.role != Role::Reader) == role_index);
-            slow_start.count(now, servers.map(|s| (s.entry, s.weight)));
+            slow_start.set_servers(now, servers.map(|s| (s.entry, s.weight)));
         }
         for server in self.servers.values() {
             let is_reader = server.role == Role::Reader;
--- a/src/choice/reader_selection.rs
+++ b/src/choice/reader_selection.rs
@@ -31,7 +31,9 @@
         let writers_read = self.settings.limits.writers_read && self.readers.count <= 0.0;
         let (mut ranks, mut preferred, mixed_memory_limit) =
             (Vec::new(), None, MAX_WRITER_MEMORY_SHARE.min(self.writers.memory_share + MIXED_MEMORY_MARGIN));
-        for sid in self.roster.readers(&mut self.rng, kept_keys(&open.request).map(|(key, _)| key), SAMPLE) {
+        for sid in
+            self.roster.sample_readers(&mut self.rng, kept_keys(&open.request).map(|(key, _)| key), SAMPLE)
+        {
             let Some(server) = self.servers.get(&sid) else { continue };
             let role_ineligible = match server.role {
                 Role::Reader => (!two_attempts_left).then_some(Ineligible::LastAttempt),
@@ -121,7 +123,7 @@
             return self.traffic_is_sparse();
         };
         let keeps = |id: &ServerId| self.servers.get(id).is_some_and(|s| s.kept.has(&key));
-        !self.roster.keepers(&key).iter().any(keeps)
+        !self.roster.holders(&key).iter().any(keeps)
     }
 }
 
--- a/src/choice/server_list.rs
+++ b/src/choice/server_list.rs
@@ -34,7 +34,7 @@
         }
         self.total_pending = self.servers.values().map(|server| server.pending_attempts).sum();
         let roster_entry = |(id, s): (&ServerId, &Server)| (*id, s.role, s.entry.cell, s.entry.takes_work());
-        self.roster.list(SAMPLE, self.servers.iter().map(roster_entry));
+        self.roster.set_servers(SAMPLE, self.servers.iter().map(roster_entry));
         self.normalise_weights();
         self.update_averages(now);
     }
--- a/src/choice/writer_selection.rs
+++ b/src/choice/writer_selection.rs
@@ -17,7 +17,7 @@
         let reader_entry = read_entry.or(self.servers.get(&reader).map(|s| s.entry));
         let slow_margin = SLOW_WRITER_AIM_FRACTION * self.class(&open.request).aim as f64 / 1e6;
         let mut ranks = Vec::new();
-        for sid in self.roster.writers(&mut self.rng, reader_entry.map(|e| e.cell), SAMPLE) {
+        for sid in self.roster.sample_writers(&mut self.rng, reader_entry.map(|e| e.cell), SAMPLE) {
             let Some(server) = self.servers.get(&sid) else { continue };
             let near = reader_entry.is_some_and(|e| e.cell == server.entry.cell);
             let share = self.memory_share(now, server);
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -1,5 +1,5 @@
-//! Who is there, by role and cell, and who may keep which text: a data structure below the module, so that a
-//! choice among thousands need not look at each. It chooses nothing; the module asks it for candidates.
+//! Indexes the servers by role and cell, and the servers that may keep a text. With this data structure a choice
+//! among thousands need not consider each of them. The decision module samples candidates from it and chooses.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,16 +7,16 @@
 
 use crate::interface::{CellId, Role, ServerId};
 
-/// How many servers a choice looks at.
+/// How many servers a choice considers.
 #[derive(Clone, Copy, Debug)]
 pub struct SampleSize {
-    /// All, if there are no more than this.
-    pub all: usize,
-    /// Otherwise so many, drawn at random.
-    pub some: usize,
+    /// All servers are considered if there are no more than this.
+    pub full_scan_limit: usize,
+    /// Otherwise this many are drawn at random.
+    pub drawn: usize,
 }
 
-/// A number in [0, 1) that everybody finds for this key at this server (the finish of splitmix64).
+/// Returns a number in [0, 1) for a key at a server, the same in all processes (the finalizer of splitmix64).
 pub fn rendezvous_hash(key: u64, server: ServerId) -> f64 {
     let mut x = key ^ (u64::from(server.0) + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     x = (x ^ (x >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -24,13 +24,13 @@
     (x ^ (x >> 31)) as f64 / 2f64.powi(64)
 }
 
-/// The servers of a list by role and cell, and those that may keep a key's text.
+/// The servers of a list by role and cell, and the holders of each key: the servers that may keep its text.
 pub struct Roster<Key> {
     readers: Vec<ServerId>,
     writers: Vec<ServerId>,
-    writers_of: BTreeMap<CellId, Vec<ServerId>>,
-    readers_of: BTreeMap<CellId, f64>,
-    keepers: BTreeMap<Key, Vec<ServerId>>,
+    writers_by_cell: BTreeMap<CellId, Vec<ServerId>>,
+    reader_share_by_cell: BTreeMap<CellId, f64>,
+    holders: BTreeMap<Key, Vec<ServerId>>,
 }
 
 impl<Key: Ord> Default for Roster<Key> {
@@ -38,124 +38,136 @@
         Roster {
             readers: Vec::new(),
             writers: Vec::new(),
-            writers_of: BTreeMap::new(),
-            readers_of: BTreeMap::new(),
-            keepers: BTreeMap::new(),
+            writers_by_cell: BTreeMap::new(),
+            reader_share_by_cell: BTreeMap::new(),
+            holders: BTreeMap::new(),
         }
     }
 }
 
-/// Adds all of a few, and otherwise some, drawn at random.
-fn add(found: &mut Vec<ServerId>, rng: &mut impl Rng, all: &[ServerId], sample: SampleSize) {
-    if all.len() <= sample.all {
-        found.extend(all);
+/// Adds all servers if there are few, and otherwise some drawn at random.
+fn add_sample(ids: &mut Vec<ServerId>, rng: &mut impl Rng, all: &[ServerId], sample: SampleSize) {
+    if all.len() <= sample.full_scan_limit {
+        ids.extend(all);
     } else {
-        found.extend((0..sample.some).filter_map(|_| all.get(rng.random_range(0..all.len()))));
+        ids.extend((0..sample.drawn).filter_map(|_| all.get(rng.random_range(0..all.len()))));
     }
 }
 
-/// Each once, in the order of their numbers.
-fn once(mut found: Vec<ServerId>) -> Vec<ServerId> {
-    found.sort_unstable();
-    found.dedup();
-    found
+/// Sorts the ids and removes duplicates.
+fn sorted_unique(mut ids: Vec<ServerId>) -> Vec<ServerId> {
+    ids.sort_unstable();
+    ids.dedup();
+    ids
 }
 
 impl<Key: Ord> Roster<Key> {
-    /// Takes a new list on; the last of each says whether it takes work. Where a role has more servers than are
-    /// all looked at, only those that do are drawn: among many that drain the few others would seldom be found.
-    pub fn list(
+    /// Replaces the list of servers; the last field says whether the server takes work. Where a role has more servers
+    /// than a full scan covers, only those that take work are kept: among many that drain, the few others would
+    /// seldom be drawn.
+    pub fn set_servers(
         &mut self,
         sample: SampleSize,
         servers: impl Iterator<Item = (ServerId, Role, CellId, bool)>,
     ) {
         self.readers.clear();
         self.writers.clear();
-        self.writers_of.clear();
-        self.readers_of.clear();
-        let (mut all, mut any_reader, mut idle) = (Vec::new(), false, BTreeSet::new());
-        let mut reading = 0.0;
+        self.writers_by_cell.clear();
+        self.reader_share_by_cell.clear();
+        let (mut all, mut any_reader, mut not_taking_work) = (Vec::new(), false, BTreeSet::new());
+        let mut reader_count = 0.0;
         for (id, role, cell, takes_work) in servers {
             any_reader |= role == Role::Reader;
             all.push(id);
             if role != Role::Writer {
                 self.readers.push(id);
-                reading += 1.0;
-                *self.readers_of.entry(cell).or_default() += 1.0;
+                reader_count += 1.0;
+                *self.reader_share_by_cell.entry(cell).or_default() += 1.0;
             }
             if role != Role::Reader {
                 self.writers.push(id);
-                self.writers_of.entry(cell).or_default().push(id);
+                self.writers_by_cell.entry(cell).or_default().push(id);
             }
             if !takes_work {
-                idle.insert(id);
+                not_taking_work.insert(id);
             }
         }
         if !any_reader {
-            // Where no reader is listed, whether a writer may read is for the module to say.
+            // If no reader is listed, the decision module determines whether writers may read.
             self.readers = all;
         }
-        self.readers_of.values_mut().for_each(|count| *count /= reading);
-        for drawn in [&mut self.readers, &mut self.writers].into_iter().chain(self.writers_of.values_mut()) {
-            if drawn.len() > sample.all {
-                drawn.retain(|id| !idle.contains(id));
+        self.reader_share_by_cell.values_mut().for_each(|count| *count /= reader_count);
+        for ids in [&mut self.readers, &mut self.writers].into_iter().chain(self.writers_by_cell.values_mut())
+        {
+            if ids.len() > sample.full_scan_limit {
+                ids.retain(|id| !not_taking_work.contains(id));
             }
         }
     }
 
-    /// Notes that a server may keep a key's text.
-    pub fn keep(&mut self, key: Key, server: ServerId) {
-        let keepers = self.keepers.entry(key).or_default();
-        if !keepers.contains(&server) {
-            keepers.push(server);
+    /// Records that a server may keep a key's text.
+    pub fn add_holder(&mut self, key: Key, server: ServerId) {
+        let holders = self.holders.entry(key).or_default();
+        if !holders.contains(&server) {
+            holders.push(server);
         }
     }
 
-    /// The servers that may keep a key's text.
-    pub fn keepers(&self, key: &Key) -> &[ServerId] {
-        self.keepers.get(key).map_or(&[], Vec::as_slice)
+    /// Returns the servers that may keep a key's text.
+    pub fn holders(&self, key: &Key) -> &[ServerId] {
+        self.holders.get(key).map_or(&[], Vec::as_slice)
     }
 
-    /// Drops what is not kept any more.
-    pub fn forget(&mut self, keeps: impl Fn(&Key, ServerId) -> bool) {
-        self.keepers.retain(|key, servers| {
+    /// Drops the holders for which `keeps` returns false.
+    pub fn retain_holders(&mut self, keeps: impl Fn(&Key, ServerId) -> bool) {
+        self.holders.retain(|key, servers| {
             servers.retain(|server| keeps(key, *server));
             !servers.is_empty()
         });
     }
 
-    /// Readers to choose among: the keepers of these keys, and others.
-    pub fn readers(
+    /// Returns the readers to choose among: holders of these keys, and others.
+    pub fn sample_readers(
         &self,
         rng: &mut impl Rng,
         keys: impl Iterator<Item = Key>,
         sample: SampleSize,
     ) -> Vec<ServerId> {
-        let mut found = Vec::new();
-        if self.readers.len() > sample.all {
+        let mut ids = Vec::new();
+        if self.readers.len() > sample.full_scan_limit {
             keys.for_each(|key| {
-                add(&mut found, rng, self.keepers(&key), SampleSize { all: sample.some, ..sample })
+                add_sample(
+                    &mut ids,
+                    rng,
+                    self.holders(&key),
+                    SampleSize { full_scan_limit: sample.drawn, ..sample },
+                )
             });
         }
-        add(&mut found, rng, &self.readers, sample);
-        once(found)
+        add_sample(&mut ids, rng, &self.readers, sample);
+        sorted_unique(ids)
     }
 
-    /// The part of all readers that a cell has; all, if it has none.
-    pub fn readers_of(&self, cell: CellId) -> f64 {
-        self.readers_of.get(&cell).copied().unwrap_or(1.0)
+    /// Returns the fraction of all readers that are in a cell, or 1 if it has none.
+    pub fn reader_share(&self, cell: CellId) -> f64 {
+        self.reader_share_by_cell.get(&cell).copied().unwrap_or(1.0)
     }
 
-    /// Writers to choose among: those of the cell, and others.
-    pub fn writers(&self, rng: &mut impl Rng, cell: Option<CellId>, sample: SampleSize) -> Vec<ServerId> {
-        let mut found = Vec::new();
-        if let Some(near) = cell.and_then(|cell| self.writers_of.get(&cell))
-            && self.writers.len() > sample.all
+    /// Returns the writers to choose among: some of the cell, and others.
+    pub fn sample_writers(
+        &self,
+        rng: &mut impl Rng,
+        cell: Option<CellId>,
+        sample: SampleSize,
+    ) -> Vec<ServerId> {
+        let mut ids = Vec::new();
+        if let Some(in_cell) = cell.and_then(|cell| self.writers_by_cell.get(&cell))
+            && self.writers.len() > sample.full_scan_limit
         {
-            add(&mut found, rng, near, SampleSize { all: sample.some, ..sample });
+            add_sample(&mut ids, rng, in_cell, SampleSize { full_scan_limit: sample.drawn, ..sample });
         }
-        add(&mut found, rng, &self.writers, sample);
-        once(found)
+        add_sample(&mut ids, rng, &self.writers, sample);
+        sorted_unique(ids)
     }
 }
 
--- a/src/routing/core.rs
+++ b/src/routing/core.rs
@@ -54,7 +54,7 @@
 
     /// The counters.
     pub fn totals(&self, now: Micros) -> Totals {
-        let fleets = self.pools.iter().map(|pool| pool.router.fleet(now));
+        let fleets = self.pools.iter().map(|pool| pool.router.server_counts(now));
         let (known, avoided) = fleets.fold((0, 0), |(a, b), (known, avoided)| (a + known, b + avoided));
         let open = self.open.values().filter(|open| !open.over).count();
         let [open, known, avoided] = [open, known, avoided].map(|count| count as u64);
