--- a/tests/choices.rs
+++ b/tests/choices.rs
@@ -1,4 +1,4 @@
-//! One small test for each failure found, and for the ordinary path.
+//! Small tests of single decisions: the normal path, and one for each failure that was found.
 
 mod common;
 
@@ -18,7 +18,8 @@
     })
 }
 
-/// Serves a request from its read to its end, each step after the given time.
+/// Serves a request from its read to the end of its answer, each step after the given time. Returns its reader and
+/// writer.
 fn serve(stand: &mut Stand, request: Request, step: Micros) -> Option<(ServerId, ServerId)> {
     stand.accept(request);
     let reader = stand.at(request.id)?;
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn a_session_returns_to_the_reader_that_keeps_it() {
+fn session_returns_to_the_reader_that_keeps_its_prompt() {
     let mut stand = Stand::new(settings(), pair_fleet());
     let first = request(1, stand.now);
     let (reader, writer) = serve(&mut stand, first, 50 * MS).expect("served");
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn a_loaded_reader_loses_the_prompt_it_keeps() {
+fn session_leaves_an_overloaded_reader() {
     let mut stand = Stand::new(settings(), pair_fleet());
     let first = request(1, stand.now);
     let (reader, _) = serve(&mut stand, first, 50 * MS).expect("served");
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn a_silent_reader_is_left_and_tried_again_singly() {
+fn silent_reader_is_ejected_and_gets_single_trials() {
     let mut stand = Stand::new(settings(), pair_fleet());
     let silent = ServerId(0);
     for n in 0..75 {
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn doubt_of_most_tells_nothing() {
+fn ejected_readers_are_used_if_all_are_ejected() {
     let mut stand =
         Stand::new(settings(), vec![server(0, READER, 0), server(10, READER, 0), server(1, WRITER, 0)]);
     let first = request(1, stand.now);
@@ -99,17 +100,18 @@
     stand.pass(300 * MS);
     let next = request(2, stand.now);
     stand.accept(next);
-    assert!(stand.at(next.id).is_some(), "with all readers in doubt they are used as before");
+    assert!(stand.at(next.id).is_some(), "ejected readers are used if there is no other");
 }
 
 #[test]
-fn a_slow_writer_has_no_room() {
+fn slow_writer_is_avoided() {
     let mut stand = Stand::new(settings(), vec![server(0, READER, 0), server(1, WRITER, 0)]);
     let (here, there) = (SessionKey(1), SessionKey(2));
     let first = Request { session: Some(here), ..request(1, stand.now) };
     serve(&mut stand, first, 20 * MS).expect("served");
+    // Loads reader 0, so that the other session goes to the reader of cell 1.
     for n in 3..6 {
-        stand.accept(Request { prompt_tokens: 4_000, ..request(n, stand.now) }); // draws the other session away
+        stand.accept(Request { prompt_tokens: 4_000, ..request(n, stand.now) });
     }
     stand.list(
         ListScope::Changes,
@@ -134,13 +136,16 @@
         stand.start(request.id);
         stand.end_with(request.id, Outcome::Served, 0, report(0.1, 0.0));
     }
-    assert!(near[0] > 0 && near[1] < near[0], "{near:?} states of 10 each went to the slow near writer");
+    assert!(
+        near[0] > 0 && near[1] < near[0],
+        "{near:?} states of 10 each went to the slow writer in the reader's cell"
+    );
 }
 
 #[test]
-fn a_slow_link_is_not_blamed_on_the_writer() {
-    // The near writer of cell 0 is full, so states cross to cell 1 over a slow link; the readers of cell 1
-    // must go on using their own writer, and requests there must not be turned away.
+fn slow_link_does_not_count_against_the_writer() {
+    // The writer of cell 0 is full, so states cross to cell 1 over a slow link. The reader of cell 1 must continue to
+    // use its own writer, and requests there must not be refused.
     let fleet =
         vec![server(0, READER, 0), server(1, WRITER, 0), server(100, READER, 1), server(101, WRITER, 1)];
     let mut stand = Stand::new(settings(), fleet);
@@ -166,14 +171,15 @@
     assert!(near >= 30, "{near} of 60 stayed in their cell");
 }
 
-/// Failure: a server answers four requests in ten with errors, at once, and looks emptier than any.
+/// Failure: a server that answers four of ten requests with errors does so at once, looks idler than any other and
+/// attracts more requests.
 #[test]
-fn a_server_that_answers_with_errors_is_left_for_a_while() {
+fn server_that_answers_with_errors_is_avoided_until_it_recovers() {
     let mut settings = settings();
     settings.classes[0].effect = Effect::Unsafe;
     let writers = [1, 2].map(|id| server(id, WRITER, 0));
     let mut stand = Stand::new(settings, [vec![server(0, READER, 0)], writers.to_vec()].concat());
-    let to_writer = |stand: &mut Stand, n: u64, faulty: Option<ServerId>| {
+    let serve_with = |stand: &mut Stand, n: u64, faulty: Option<ServerId>| {
         let request = request(n, stand.now);
         stand.accept(request);
         stand.pass(20 * MS);
@@ -190,17 +196,17 @@
         writer
     };
     let bad = Some(ServerId(1));
-    let sent = (0..40).filter(|n| Some(to_writer(&mut stand, *n, bad)) == bad).count();
-    assert!((1..=6).contains(&sent), "{sent} of 40 to the faulty one");
+    let sent = (0..40).filter(|n| Some(serve_with(&mut stand, *n, bad)) == bad).count();
+    assert!((1..=6).contains(&sent), "{sent} of 40 requests went to the faulty server");
     stand.pass(12 * S);
-    let sent = (40..80).filter(|n| Some(to_writer(&mut stand, *n, None)) == bad).count();
-    assert!(sent >= 10, "{sent} of 40 once it has recovered");
+    let sent = (40..80).filter(|n| Some(serve_with(&mut stand, *n, None)) == bad).count();
+    assert!(sent >= 10, "{sent} of 40 requests went to the server once it had recovered");
 }
 
-/// Failure: one connection falls silent at a reader that is well; the others' reads keep it from being doubted,
-/// and the request waits there until its client has left.
+/// Failure: one connection to a healthy reader falls silent. The reads of other requests keep the reader from being
+/// ejected, and the request waits there until its client disconnects.
 #[test]
-fn an_attempt_that_later_ones_have_overtaken_is_given_up() {
+fn attempt_overtaken_by_later_ones_is_cancelled() {
     let mut stand = Stand::new(settings(), vec![server(0, READER, 0), server(1, WRITER, 0)]);
     let silent = request(1, stand.now);
     stand.accept(silent);
@@ -215,12 +221,12 @@
     assert!(stand.requests[&silent.id].attempts[0].cancelled);
     stand.end(silent.id, Outcome::Cancelled);
     stand.pass(60 * MS);
-    assert_eq!(stand.at(silent.id), Some(ServerId(0)), "the reader itself is not in doubt");
+    assert_eq!(stand.at(silent.id), Some(ServerId(0)), "the reader itself is not ejected");
 }
 
-/// Failure: one broken connection makes the router forget all that a healthy reader keeps, and leave it.
+/// Failure: a single broken connection makes the router drop all kept prefixes of a healthy reader and avoid it.
 #[test]
-fn a_reset_connection_neither_empties_the_table_nor_casts_doubt() {
+fn reset_connection_neither_clears_kept_prefixes_nor_ejects_the_reader() {
     let mut stand = Stand::new(settings(), pair_fleet());
     let first = request(1, stand.now);
     let (reader, _) = serve(&mut stand, first, 50 * MS).expect("served");
@@ -229,7 +235,7 @@
     assert_eq!(stand.at(broken.id), Some(reader));
     stand.gone(broken.id);
     stand.end(broken.id, Outcome::Reset);
-    // Only what it keeps speaks for it now.
+    // The reader is preferred only for the prompt it keeps.
     for server in [ServerId(0), ServerId(10)] {
         let report = report(0.1, if server == reader { 6_000.0 } else { 0.0 });
         stand.feed(Event::Probed { server, outcome: Outcome::Served, took: MS, report });
@@ -238,10 +244,10 @@
     assert_eq!(serve(&mut stand, again, 50 * MS).map(|pair| pair.0), Some(reader));
 }
 
-/// Failure: a probe whose connection breaks makes a reader the last resort until it is probed again, which
-/// the last resort is not; in the end one reader of seven was left, and turned work away.
+/// Failure: a probe whose connection is reset makes a reader avoided until it is probed again, but avoided readers are
+/// not probed. In the end one reader of seven was in use and refused requests.
 #[test]
-fn a_probe_that_broke_is_no_silence() {
+fn reset_probe_does_not_count_as_unanswered() {
     let mut settings = settings();
     settings.limits.probes = true;
     let mut stand = Stand::new(settings, pair_fleet());
@@ -266,17 +272,17 @@
 }
 
 #[test]
-fn a_jammed_fleet_turns_work_away_early() {
+fn overloaded_fleet_refuses_requests_early() {
     let mut stand = Stand::new(settings(), vec![server(0, READER, 0), server(1, WRITER, 0)]);
     for n in 0..40 {
         stand.accept(request(n, stand.now));
     }
     let taken = stand.requests.values().filter(|t| !t.over).count();
-    assert!((2..20).contains(&taken), "{taken} of 40 prompts taken by one reader at once");
+    assert!((2..20).contains(&taken), "one reader admitted {taken} of 40 simultaneous prompts");
 }
 
 #[test]
-fn a_long_prompt_is_served_by_an_idle_fleet() {
+fn long_prompt_is_admitted_by_an_idle_fleet() {
     let mut settings = settings();
     settings.classes[0].aim_per_1000_tokens = 40_000;
     let mut stand = Stand::new(settings, pair_fleet());
@@ -285,11 +291,11 @@
     }
     let long = Request { prompt_tokens: 15_000, ..request(9, stand.now) };
     stand.accept(long);
-    assert!(stand.at(long.id).is_some(), "its own long read is no queue");
+    assert!(stand.at(long.id).is_some(), "its own long read must not count as queueing");
 }
 
 #[test]
-fn over_its_share_goes_first() {
+fn tenant_over_its_share_is_refused_first() {
     let mut settings = settings();
     settings.over_share_worth = 0.1;
     settings.tenants =
@@ -306,7 +312,7 @@
 }
 
 #[test]
-fn settings_that_contradict_themselves_are_refused() {
+fn invalid_settings_are_refused() {
     use milletseam::choice::Router;
     assert!(matches!(Router::new(Settings::plain(1), 1, 0), Err(SettingsError::Empty("kinds"))));
     let mut negative = settings();
@@ -314,8 +320,8 @@
     assert!(matches!(Router::new(negative, 1, 0), Err(SettingsError::OutOfRange("cold_from"))));
 }
 
-/// Many readers behind many dispatchers, of which the stand is one.
-fn thin_stand(seed: u64, dispatchers: u32) -> Stand {
+/// A fleet of 20 readers and 20 writers behind many dispatchers, of which the stand is one.
+fn sparse_stand(seed: u64, dispatchers: u32) -> Stand {
     let mut settings = settings();
     settings.dispatchers = dispatchers;
     settings.limits.probes = false;
@@ -327,38 +333,38 @@
 }
 
 #[test]
-fn dispatchers_that_share_nothing_agree_on_a_sessions_reader() {
+fn independent_dispatchers_agree_on_the_reader_of_a_session() {
     let mut readers = std::collections::BTreeSet::new();
     for seed in 0..40 {
-        let mut stand = thin_stand(seed, 200);
+        let mut stand = sparse_stand(seed, 200);
         let same = Request { session: Some(SessionKey(77)), ..request(seed, stand.now) };
         stand.accept(same);
         readers.insert(stand.at(same.id));
     }
-    assert_eq!(readers.len(), 1, "a session has one home");
-    let mut homes = std::collections::BTreeSet::new();
+    assert_eq!(readers.len(), 1, "a session has one reader");
+    let mut session_readers = std::collections::BTreeSet::new();
     for session in 0..60 {
-        let mut stand = thin_stand(1, 200);
-        let one = Request { session: Some(SessionKey(session)), ..request(session, stand.now) };
-        stand.accept(one);
-        homes.insert(stand.at(one.id));
+        let mut stand = sparse_stand(1, 200);
+        let new_request = Request { session: Some(SessionKey(session)), ..request(session, stand.now) };
+        stand.accept(new_request);
+        session_readers.insert(stand.at(new_request.id));
     }
-    assert_eq!(homes.len(), 5, "sessions spread over all readers of the zone to which they come");
+    assert_eq!(session_readers.len(), 5, "sessions spread over all readers of the dispatcher's zone");
 }
 
 #[test]
-fn many_dispatchers_together_spare_a_cold_server() {
+fn many_dispatchers_do_not_overload_a_cold_server() {
     let mut sends = 0;
     for seed in 0..200 {
-        let mut stand = thin_stand(seed, 200);
+        let mut stand = sparse_stand(seed, 200);
         let cold = ServerEntry { started: Some(stand.now), ..server(1_000, READER, 0) };
         stand.list(ListScope::Changes, vec![cold]);
-        // The cold one is empty, and all the others have just been full.
+        // The cold server is idle, and all others have just refused a request as full.
         for n in 0..3 {
-            let one = request(n, stand.now);
-            stand.accept(one);
-            if stand.at(one.id) != Some(cold.id) {
-                stand.end(one.id, Outcome::Full);
+            let new_request = request(n, stand.now);
+            stand.accept(new_request);
+            if stand.at(new_request.id) != Some(cold.id) {
+                stand.end(new_request.id, Outcome::Full);
             }
             stand.pass(100 * MS);
         }
@@ -367,21 +373,21 @@
     assert!(sends <= 10, "{sends} sends to a cold server within 0.3 s, from 200 dispatchers");
 }
 
-/// Failure: each of many dispatchers waits for a turn at a cold server and then has no request to use it for, so that
-/// the cold one idles while all others are jammed.
+/// Failure: each of many dispatchers waits for its turn at a cold server and then has no request for it, so that the
+/// cold server idles while all others are overloaded.
 #[test]
-fn many_dispatchers_together_use_a_cold_server_while_others_are_jammed() {
+fn many_dispatchers_use_a_cold_server_while_others_are_overloaded() {
     let (mut sends, mut requests) = (0, 0);
     for seed in 0..200 {
-        let mut stand = thin_stand(seed, 200);
-        // Jammed servers serve as much as they can: what they bear says what a cold one may be sent.
+        let mut stand = sparse_stand(seed, 200);
+        // Overloaded servers serve as much as they can, which determines what a cold server may be sent.
         for n in 100..105 {
-            let one = request(n, stand.now);
-            stand.accept(one);
+            let new_request = request(n, stand.now);
+            stand.accept(new_request);
             stand.pass(200 * MS);
-            stand.end(one.id, Outcome::Read);
-            stand.start(one.id);
-            stand.end(one.id, Outcome::Served);
+            stand.end(new_request.id, Outcome::Read);
+            stand.start(new_request.id);
+            stand.end(new_request.id, Outcome::Served);
         }
         let cold = ServerEntry { started: Some(stand.now), ..server(1_000, READER, 0) };
         stand.list(ListScope::Changes, vec![cold]);
@@ -407,14 +413,14 @@
 }
 
 #[test]
-fn the_best_candidates_are_asked_before_the_choice() {
+fn best_candidates_are_probed_before_the_choice() {
     let mut settings = settings();
     settings.limits.probes = true;
     let mut stand = Stand::new(settings, pair_fleet());
     let first = request(1, stand.now);
     stand.accept(first);
-    assert_eq!(stand.at(first.id), None, "the choice waits for reports");
-    assert_eq!(stand.probes.len(), 2, "both readers are asked");
+    assert_eq!(stand.at(first.id), None, "the choice must wait for reports");
+    assert_eq!(stand.probes.len(), 2, "both readers are probed");
     let probed = |server, waiting| Event::Probed {
         server: ServerId(server),
         outcome: Outcome::Served,
@@ -424,19 +430,19 @@
     stand.feed(probed(0, 30_000.0));
     stand.feed(probed(10, 0.0));
     stand.pass(100 * MS);
-    assert_eq!(stand.at(first.id), Some(ServerId(10)), "the emptier one is taken");
+    assert_eq!(stand.at(first.id), Some(ServerId(10)), "the idle reader is chosen");
 }
 
-/// Failure: reports tell a queue in requests only, and every reader is taken for empty.
+/// Failure: reports state queues in requests only, and every reader is taken to be idle.
 #[test]
-fn a_queue_that_is_told_in_requests_counts_as_one_of_tokens() {
-    for (at_0, at_10, taken) in [(20.0, 0.0, 10), (0.0, 20.0, 0)] {
+fn queue_reported_in_requests_is_converted_to_tokens() {
+    for (waiting_at_0, waiting_at_10, expected) in [(20.0, 0.0, 10), (0.0, 20.0, 0)] {
         let mut settings = settings();
         settings.limits.probes = true;
         let mut stand = Stand::new(settings, pair_fleet());
         let first = request(1, stand.now);
         stand.accept(first);
-        for (server, waiting) in [(0, at_0), (10, at_10)] {
+        for (server, waiting) in [(0, waiting_at_0), (10, waiting_at_10)] {
             stand.feed(Event::Probed {
                 server: ServerId(server),
                 outcome: Outcome::Served,
@@ -445,12 +451,12 @@
             });
         }
         stand.pass(100 * MS);
-        assert_eq!(stand.at(first.id), Some(ServerId(taken)));
+        assert_eq!(stand.at(first.id), Some(ServerId(expected)));
     }
 }
 
 #[test]
-fn a_reader_that_answers_no_probe_is_passed_over() {
+fn reader_with_unanswered_probe_is_avoided() {
     let mut settings = settings();
     settings.limits.probes = true;
     let mut stand = Stand::new(settings, pair_fleet());
@@ -463,11 +469,15 @@
     };
     stand.feed(answer);
     stand.pass(100 * MS);
-    assert_eq!(stand.at(request(1, 0).id), Some(ServerId(10)), "a load that is known beats silence");
+    assert_eq!(
+        stand.at(request(1, 0).id),
+        Some(ServerId(10)),
+        "a reader with a known load is preferred to one that left a probe unanswered"
+    );
 }
 
 #[test]
-fn an_attempt_is_given_up_only_after_a_probe_went_unanswered() {
+fn attempt_is_cancelled_only_after_an_unanswered_probe() {
     let mut settings = settings();
     settings.limits.probes = true;
     settings.classes[0].aim = 3 * S;
@@ -475,9 +485,9 @@
         let fleet = vec![server(0, READER, 0), server(1, WRITER, 0)];
         let mut stand = Stand::new(settings.clone(), fleet);
         stand.pass(10 * MS);
-        let one = request(1, stand.now);
-        stand.accept(one);
-        assert_eq!(stand.at(one.id), Some(ServerId(0)));
+        let new_request = request(1, stand.now);
+        stand.accept(new_request);
+        assert_eq!(stand.at(new_request.id), Some(ServerId(0)));
         let aim = settings.classes[0].aim;
         for _ in 0..aim / (100 * MS) - 1 {
             stand.pass(100 * MS);
@@ -490,12 +500,12 @@
                 });
             }
         }
-        assert_eq!(stand.requests[&one.id].attempts[0].cancelled, !answers);
+        assert_eq!(stand.requests[&new_request.id].attempts[0].cancelled, !answers);
     }
 }
 
 #[test]
-fn a_server_full_for_one_tenant_still_serves_another() {
+fn server_full_for_one_tenant_serves_another() {
     let mut settings = settings();
     settings.tenants = vec![Tenant { share: 0.5, quota_per_s: 1e6 }; 2];
     let fleet = vec![server(0, READER, 0), server(10, READER, 0), server(1, WRITER, 0)];
@@ -512,24 +522,24 @@
     stand.end(first.id, Outcome::Full);
     stand.end(first.id, Outcome::Read);
     stand.pass(S);
-    let mut seen = std::collections::BTreeSet::new();
+    let mut readers_used = std::collections::BTreeSet::new();
     for n in 0..12 {
         let (same, other) = (of(10 + n, 0, stand.now), of(50 + n, 1, stand.now));
         stand.accept(same);
-        assert_ne!(stand.at(same.id), Some(full), "that tenant rests there");
+        assert_ne!(stand.at(same.id), Some(full), "the tenant avoids the server that refused it as full");
         stand.accept(other);
-        seen.insert(stand.at(other.id));
+        readers_used.insert(stand.at(other.id));
         for id in [same.id, other.id] {
             if stand.at(id).is_some() {
                 stand.end(id, Outcome::Read);
             }
         }
     }
-    assert!(seen.contains(&Some(full)), "the other tenant is served there");
+    assert!(readers_used.contains(&Some(full)), "the other tenant is served by that server");
 }
 
 #[test]
-fn a_writer_reads_when_the_readers_are_lost() {
+fn writer_reads_only_if_allowed_and_no_reader_is_listed() {
     for (writers_read, sent) in [(true, Some(ServerId(1))), (false, None)] {
         let mut settings = settings();
         settings.limits.writers_read = writers_read;
@@ -540,25 +550,25 @@
     }
 }
 
-/// A dispatcher to which 20 long prompts came in the last seconds.
+/// A dispatcher that has received 20 long prompts in the last seconds.
 fn busy_stand(seed: u64, dispatchers: u32) -> Stand {
-    let mut stand = thin_stand(seed, dispatchers);
+    let mut stand = sparse_stand(seed, dispatchers);
     for n in 1_000..1_020 {
-        let one = Request { prompt_tokens: 6_000, session: None, ..request(n, stand.now) };
-        stand.accept(one);
+        let new_request = Request { prompt_tokens: 6_000, session: None, ..request(n, stand.now) };
+        stand.accept(new_request);
         stand.pass(100 * MS);
-        if stand.at(one.id).is_none() {
+        if stand.at(new_request.id).is_none() {
             continue;
         }
-        stand.end_with(one.id, Outcome::Read, 0, report(0.1, 0.0));
-        stand.start(one.id);
-        stand.end_with(one.id, Outcome::Served, 0, report(0.1, 0.0));
+        stand.end_with(new_request.id, Outcome::Read, 0, report(0.1, 0.0));
+        stand.start(new_request.id);
+        stand.end_with(new_request.id, Outcome::Served, 0, report(0.1, 0.0));
     }
     stand
 }
 
 #[test]
-fn a_report_of_an_empty_reader_is_not_room_for_every_dispatcher() {
+fn report_of_an_empty_reader_does_not_admit_every_dispatcher() {
     let mut refused = [0, 0];
     for (dispatchers, refused) in [1, 200].into_iter().zip(&mut refused) {
         for seed in 0..40 {
@@ -568,49 +578,52 @@
                 let (outcome, took) = (Outcome::Served, MS);
                 stand.feed(Event::Probed { server: reader, outcome, took, report: empty });
             }
-            let one = Request { prompt_tokens: 6_000, ..request(1, stand.now) };
-            stand.accept(one);
-            *refused += usize::from(stand.requests[&one.id].over);
+            let new_request = Request { prompt_tokens: 6_000, ..request(1, stand.now) };
+            stand.accept(new_request);
+            *refused += usize::from(stand.requests[&new_request.id].over);
         }
     }
-    assert_eq!(refused[0], 0, "a dispatcher that is alone believes the report");
-    assert!((5..40).contains(&refused[1]), "{} of 40 turned away, at one dispatcher of 200", refused[1]);
+    assert_eq!(refused[0], 0, "a single dispatcher trusts the report");
+    assert!((5..40).contains(&refused[1]), "{} of 40 refused by one dispatcher of 200", refused[1]);
 }
 
 #[test]
-fn a_reader_that_looks_empty_draws_no_session_from_a_loaded_home() {
+fn idle_reader_does_not_attract_a_session_from_its_loaded_reader() {
     let mut moved = 0;
     for n in 0..40 {
-        let mut stand = thin_stand(1, 200);
-        let one = Request { expires: stand.now + 60 * S, ..request(n, stand.now) };
-        stand.accept(one);
-        let home = stand.at(one.id).expect("a reader");
-        // A report shows more waiting there than anywhere; another dispatcher would send there all the same.
-        stand.end_with(one.id, Outcome::Read, 0, report(0.1, 40_000.0));
-        let other = (0..20).map(|n| ServerId(10 * n)).find(|id| *id != home).expect("others");
+        let mut stand = sparse_stand(1, 200);
+        let new_request = Request { expires: stand.now + 60 * S, ..request(n, stand.now) };
+        stand.accept(new_request);
+        let session_reader = stand.at(new_request.id).expect("a reader");
+        // A report shows a longer queue there than elsewhere, but other dispatchers would still send the session there.
+        stand.end_with(new_request.id, Outcome::Read, 0, report(0.1, 40_000.0));
+        let other = (0..20).map(|n| ServerId(10 * n)).find(|id| *id != session_reader).expect("others");
         stand.feed(Event::Probed {
             server: other,
             outcome: Outcome::Served,
             took: MS,
             report: report(0.0, 0.0),
         });
-        let later =
-            Request { session: one.session, expires: stand.now + 60 * S, ..request(n + 100, stand.now) };
+        let later = Request {
+            session: new_request.session,
+            expires: stand.now + 60 * S,
+            ..request(n + 100, stand.now)
+        };
         stand.accept(later);
-        moved += usize::from(stand.at(later.id).is_some_and(|id| id != home));
+        moved += usize::from(stand.at(later.id).is_some_and(|id| id != session_reader));
     }
-    assert_eq!(moved, 0, "of 40 sessions");
+    assert_eq!(moved, 0, "number of 40 sessions that moved");
 }
 
 #[test]
-fn an_attempt_in_a_long_queue_is_not_given_up_and_sent_again() {
+fn attempt_in_a_long_queue_is_not_cancelled() {
     let mut settings = settings();
     settings.limits.probes = true;
     for (waiting, kept) in [(60_000.0, true), (0.0, false)] {
         let mut stand = Stand::new(settings.clone(), vec![server(0, READER, 0), server(1, WRITER, 0)]);
         stand.pass(10 * MS);
-        let one = request(1, stand.now);
-        stand.accept(one);
+        let new_request = request(1, stand.now);
+        stand.accept(new_request);
         let span = settings.classes[0].aim + S;
         for _ in 0..span / (100 * MS) {
             stand.pass(100 * MS);
@@ -623,62 +636,75 @@
                 });
             }
         }
-        let cancelled = stand.requests[&one.id].attempts[0].cancelled;
-        assert_eq!(cancelled, !kept, "after the aim at a reader with {waiting} tokens waiting");
+        let cancelled = stand.requests[&new_request.id].attempts[0].cancelled;
+        assert_eq!(cancelled, !kept, "cancelled after the aim, at a reader with {waiting} tokens waiting");
     }
 }
 
-/// Each way to give up: under load, with the attempts used up, with no server, at the deadline.
+/// Covers each reason to give up before the deadline: overload, used-up attempts, and no server until the aim.
 #[test]
-fn a_request_given_up_on_is_answered_at_once() {
+fn abandoned_request_is_answered_at_once() {
     let mut stand = Stand::new(settings(), vec![server(0, READER, 0), server(1, WRITER, 0)]);
     for n in 0..40 {
-        let one = request(n, stand.now);
-        stand.accept(one);
-        assert!(stand.requests[&one.id].over || stand.at(one.id).is_some(), "neither sent nor answered");
+        let new_request = request(n, stand.now);
+        stand.accept(new_request);
+        assert!(
+            stand.requests[&new_request.id].over || stand.at(new_request.id).is_some(),
+            "the request was neither sent nor answered"
+        );
     }
     let mut stand = Stand::new(settings(), pair_fleet());
-    let one = request(1, stand.now);
-    stand.accept(one);
-    while stand.at(one.id).is_some() {
-        stand.end(one.id, Outcome::ConnectFailed);
+    let new_request = request(1, stand.now);
+    stand.accept(new_request);
+    while stand.at(new_request.id).is_some() {
+        stand.end(new_request.id, Outcome::ConnectFailed);
     }
-    assert!(stand.requests[&one.id].over, "answered when the last attempt has failed");
+    assert!(
+        stand.requests[&new_request.id].over,
+        "the request must be answered when the last attempt has failed"
+    );
     let mut stand = Stand::new(settings(), Vec::new());
-    let one = Request { expires: stand.now + 60 * S, ..request(1, stand.now) };
-    stand.accept(one);
+    let new_request = Request { expires: stand.now + 60 * S, ..request(1, stand.now) };
+    stand.accept(new_request);
     stand.pass(stand.settings.classes[0].aim + 100 * MS);
-    assert!(stand.requests[&one.id].over, "with no server it is answered at the aim, not at the deadline");
+    assert!(
+        stand.requests[&new_request.id].over,
+        "without servers the request must be answered at its aim, not at its deadline"
+    );
 }
 
 #[test]
-fn a_fleet_known_to_be_jammed_needs_no_fresh_report() {
+fn overloaded_fleet_refuses_without_a_fresh_report() {
     for (waiting, taken) in [(2_000.0, true), (90_000.0, false)] {
-        let mut stand = thin_stand(1, 200);
+        let mut stand = sparse_stand(1, 200);
         for reader in (0..20).map(|n| ServerId(10 * n)) {
             let (outcome, took) = (Outcome::Served, MS);
             stand.feed(Event::Probed { server: reader, outcome, took, report: report(0.1, waiting) });
         }
         stand.pass(700 * MS);
-        let one = request(1, stand.now);
-        stand.accept(one);
-        assert_eq!(stand.at(one.id).is_some(), taken, "{waiting} tokens wait everywhere by old reports");
+        let new_request = request(1, stand.now);
+        stand.accept(new_request);
+        assert_eq!(
+            stand.at(new_request.id).is_some(),
+            taken,
+            "old reports show {waiting} tokens waiting at every reader"
+        );
     }
 }
 
 #[test]
-fn a_state_on_its_way_over_a_link_is_not_sent_for_again_elsewhere() {
+fn transfer_over_a_link_is_not_cancelled_as_overdue() {
     let mut settings = settings();
     settings.limits.probes = true;
     settings.dispatchers = 200;
     for (cell, kept) in [(1, true), (0, false)] {
         let fleet = vec![server(0, READER, 0), server(1, WRITER, cell)];
         let mut stand = Stand::new(settings.clone(), fleet);
-        let one = request(1, stand.now);
-        stand.accept(one);
+        let new_request = request(1, stand.now);
+        stand.accept(new_request);
         stand.pass(10 * MS);
-        stand.end_with(one.id, Outcome::Read, 0, report(0.1, 0.0));
-        assert_eq!(stand.at(one.id), Some(ServerId(1)));
+        stand.end_with(new_request.id, Outcome::Read, 0, report(0.1, 0.0));
+        assert_eq!(stand.at(new_request.id), Some(ServerId(1)));
         let span = settings.classes[0].aim + S;
         for _ in 0..span / (100 * MS) {
             stand.pass(100 * MS);
@@ -687,6 +713,9 @@
                 stand.feed(Event::Probed { server, outcome, took, report: report(0.1, 0.0) });
             }
         }
-        assert_eq!(stand.requests[&one.id].attempts[1].cancelled, !kept, "at a writer of cell {cell}");
+        assert_eq!(
+            stand.requests[&new_request.id].attempts[1].cancelled, !kept,
+            "cancelled at a writer of cell {cell}"
+        );
     }
 }
--- a/tests/weights.rs
+++ b/tests/weights.rs
@@ -1,4 +1,4 @@
-//! A weight is a server's capacity against others of its role.
+//! Weights: the capacity of a server relative to others of its role.
 
 mod common;
 
@@ -7,26 +7,26 @@
 use common::*;
 use milletseam::interface::*;
 
-fn weighing(id: u32, kind: KindId, cell: u32, weight: f64) -> ServerEntry {
+fn weighted_server(id: u32, kind: KindId, cell: u32, weight: f64) -> ServerEntry {
     ServerEntry { weight, ..server(id, kind, cell) }
 }
 
-/// A request whose client waits for long.
-fn patient(n: u64, now: Micros) -> Request {
+/// A request that expires after 1,000 s.
+fn request_with_long_deadline(n: u64, now: Micros) -> Request {
     Request { expires: now + 1_000 * S, ..request(n, now) }
 }
 
-/// How many of the requests each server was sent first, when nothing ends.
-fn spread(stand: &mut Stand, requests: u64) -> BTreeMap<ServerId, u32> {
-    let mut seen = BTreeMap::new();
+/// Sends requests of which none ends, and counts the first attempts per server.
+fn first_sends(stand: &mut Stand, requests: u64) -> BTreeMap<ServerId, u32> {
+    let mut sends = BTreeMap::new();
     for n in 0..requests {
-        let one = patient(1_000 + n, stand.now);
-        stand.accept(one);
-        if let Some(server) = stand.at(one.id) {
-            *seen.entry(server).or_default() += 1;
+        let new_request = request_with_long_deadline(1_000 + n, stand.now);
+        stand.accept(new_request);
+        if let Some(server) = stand.at(new_request.id) {
+            *sends.entry(server).or_default() += 1;
         }
     }
-    seen
+    sends
 }
 
 fn long_aims() -> Settings {
@@ -36,63 +36,68 @@
 }
 
 #[test]
-fn where_nothing_else_tells_readers_apart_each_takes_its_weight() {
-    let fleet = vec![weighing(0, READER, 0, 1.0), weighing(10, READER, 0, 3.0), server(1, WRITER, 0)];
+fn readers_that_are_otherwise_equal_are_chosen_by_weight() {
+    let fleet =
+        vec![weighted_server(0, READER, 0, 1.0), weighted_server(10, READER, 0, 3.0), server(1, WRITER, 0)];
     let mut stand = Stand::new(long_aims(), fleet);
-    let seen = spread(&mut stand, 200);
-    let share = f64::from(seen[&ServerId(10)]) / 200.0;
+    let sends = first_sends(&mut stand, 200);
+    let share = f64::from(sends[&ServerId(10)]) / 200.0;
     assert!((0.70..=0.80).contains(&share), "{share}");
 }
 
 #[test]
-fn only_the_ratio_of_weights_counts() {
-    let of = |scale: f64| {
-        let fleet =
-            vec![weighing(0, READER, 0, scale), weighing(10, READER, 0, 2.0 * scale), server(1, WRITER, 0)];
-        spread(&mut Stand::new(long_aims(), fleet), 90)
+fn only_the_ratio_of_weights_matters() {
+    let sends_at_scale = |scale: f64| {
+        let fleet = vec![
+            weighted_server(0, READER, 0, scale),
+            weighted_server(10, READER, 0, 2.0 * scale),
+            server(1, WRITER, 0),
+        ];
+        first_sends(&mut Stand::new(long_aims(), fleet), 90)
     };
-    assert_eq!(of(1.0), of(40.0));
+    assert_eq!(sends_at_scale(1.0), sends_at_scale(40.0));
 }
 
-/// Failure: a file of weights does nothing, or 0 still takes work.
+/// Failure: the weights of a file have no effect, or a server of weight 0 still takes work.
 #[test]
-fn a_weight_of_zero_takes_nothing_new() {
+fn server_of_weight_zero_takes_nothing_new() {
     let fleet = vec![
-        weighing(0, READER, 0, 0.0),
-        weighing(10, READER, 0, 0.5),
-        weighing(1, WRITER, 0, 0.0),
-        weighing(11, WRITER, 0, 0.1),
+        weighted_server(0, READER, 0, 0.0),
+        weighted_server(10, READER, 0, 0.5),
+        weighted_server(1, WRITER, 0, 0.0),
+        weighted_server(11, WRITER, 0, 0.1),
     ];
     let mut stand = Stand::new(long_aims(), fleet);
     for n in 0..30 {
-        let one = request(n, stand.now);
-        stand.accept(one);
-        assert_eq!(stand.at(one.id), Some(ServerId(10)));
-        stand.end(one.id, Outcome::Read);
-        assert_eq!(stand.at(one.id), Some(ServerId(11)));
-        stand.start(one.id);
-        stand.end(one.id, Outcome::Served);
+        let new_request = request(n, stand.now);
+        stand.accept(new_request);
+        assert_eq!(stand.at(new_request.id), Some(ServerId(10)));
+        stand.end(new_request.id, Outcome::Read);
+        assert_eq!(stand.at(new_request.id), Some(ServerId(11)));
+        stand.start(new_request.id);
+        stand.end(new_request.id, Outcome::Served);
     }
 }
 
 #[test]
-fn a_writer_of_more_weight_has_more_room() {
-    let fleet = vec![server(0, READER, 0), weighing(1, WRITER, 0, 1.0), weighing(11, WRITER, 0, 2.0)];
+fn writers_take_streams_in_proportion_to_weight() {
+    let fleet =
+        vec![server(0, READER, 0), weighted_server(1, WRITER, 0, 1.0), weighted_server(11, WRITER, 0, 2.0)];
     let mut stand = Stand::new(long_aims(), fleet);
-    let mut seen = BTreeMap::new();
+    let mut sends = BTreeMap::new();
     for n in 0..60 {
-        let one = request(n, stand.now);
-        stand.accept(one);
-        stand.end(one.id, Outcome::Read);
-        *seen.entry(stand.at(one.id).expect("a writer")).or_insert(0) += 1;
-        stand.start(one.id);
+        let new_request = request(n, stand.now);
+        stand.accept(new_request);
+        stand.end(new_request.id, Outcome::Read);
+        *sends.entry(stand.at(new_request.id).expect("a writer")).or_insert(0) += 1;
+        stand.start(new_request.id);
     }
-    assert_eq!((seen[&ServerId(1)], seen[&ServerId(11)]), (20, 40));
+    assert_eq!((sends[&ServerId(1)], sends[&ServerId(11)]), (20, 40));
 }
 
-/// Failure: a small server fresh from starting gets as much as a large one, and falls over.
+/// Failure: a small server that has just started gets as much as a large one, and falls over.
 #[test]
-fn a_cold_servers_budget_goes_by_its_weight() {
+fn cold_server_budget_is_proportional_to_weight() {
     let sent = |weight: f64| {
         let mut sent = 0;
         for seed in 0..40 {
@@ -100,20 +105,20 @@
                 [server(0, READER, 0), server(10, READER, 0), server(1, WRITER, 0), server(11, WRITER, 0)];
             let mut stand = Stand::with_seed(long_aims(), warm.to_vec(), seed);
             for n in 0..60 {
-                let one = request(n, stand.now);
-                stand.accept(one);
+                let new_request = request(n, stand.now);
+                stand.accept(new_request);
                 stand.pass(20 * MS);
-                stand.end(one.id, Outcome::Read);
-                stand.start(one.id);
-                stand.end(one.id, Outcome::Served);
+                stand.end(new_request.id, Outcome::Read);
+                stand.start(new_request.id);
+                stand.end(new_request.id, Outcome::Served);
             }
-            let cold = ServerEntry { started: Some(stand.now), ..weighing(20, READER, 0, weight) };
-            // A third with the rest of the mean, so that the weight of the cold one is what it says.
-            let other = weighing(30, READER, 0, 2.0 - weight);
+            let cold = ServerEntry { started: Some(stand.now), ..weighted_server(20, READER, 0, weight) };
+            // The weight of this server keeps the mean at 1, so that the cold server's weight applies as given.
+            let other = weighted_server(30, READER, 0, 2.0 - weight);
             stand.list(ListScope::Full, [&warm[..], &[cold, other]].concat());
             let before = stand.sends.len();
             for n in 100..250 {
-                stand.accept(patient(n, stand.now));
+                stand.accept(request_with_long_deadline(n, stand.now));
                 stand.pass(20 * MS);
             }
             sent += stand.sends[before..].iter().filter(|(_, _, to)| *to == ServerId(20)).count();
@@ -121,45 +126,49 @@
         sent as f64
     };
     let ratio = sent(0.4) / sent(1.6);
-    assert!(ratio < 0.6, "a quarter of the weight, {ratio:.2} of the sends");
+    assert!(ratio < 0.6, "a quarter of the weight got {ratio:.2} of the sends");
 }
 
-/// Failure: among thousands the reader that keeps a session is not among those looked at.
+/// Failure: among thousands of readers, the one that keeps a session is not among the candidates.
 #[test]
-fn in_a_large_fleet_a_session_still_returns_to_its_reader() {
+fn session_returns_to_its_reader_in_a_large_fleet() {
     let ids = (0..1_000).map(|n| n * 10);
     let fleet = ids.flat_map(|id| [server(id, READER, id / 100), server(id + 1, WRITER, id / 100)]).collect();
     let mut stand = Stand::new(long_aims(), fleet);
     for n in 0..40 {
-        let one = Request { session: Some(SessionKey(n % 8)), ..request(n, stand.now) };
-        stand.accept(one);
-        let reader = stand.at(one.id).expect("a reader");
-        stand.end(one.id, Outcome::Read);
-        let writer = stand.at(one.id).expect("a writer");
-        assert_eq!(writer.0 / 100, reader.0 / 100, "the writer is of the reader's cell");
-        stand.start(one.id);
-        stand.end(one.id, Outcome::Served);
-        let first = stand.sends.iter().find(|(_, id, _)| stand.requests[id].request.session == one.session);
+        let new_request = Request { session: Some(SessionKey(n % 8)), ..request(n, stand.now) };
+        stand.accept(new_request);
+        let reader = stand.at(new_request.id).expect("a reader");
+        stand.end(new_request.id, Outcome::Read);
+        let writer = stand.at(new_request.id).expect("a writer");
+        assert_eq!(writer.0 / 100, reader.0 / 100, "the writer must be in the reader's cell");
+        stand.start(new_request.id);
+        stand.end(new_request.id, Outcome::Served);
+        let first =
+            stand.sends.iter().find(|(_, id, _)| stand.requests[id].request.session == new_request.session);
         assert_eq!(first.map(|(_, _, to)| *to), Some(reader), "session {}", n % 8);
     }
 }
 
-/// Failure: among hundreds that drain, the one that takes work is not among those looked at.
+/// Failure: among hundreds of draining servers, the one that takes work is not among the candidates.
 #[test]
-fn in_a_large_fleet_the_few_that_take_work_are_found_at_once() {
+fn few_servers_that_take_work_are_found_in_a_large_fleet() {
     let fleet = (0..600).flat_map(|n| {
         let reader = server(n * 10, READER, n / 10);
         let state = if n == 377 { ServerState::Ready } else { ServerState::Draining };
-        [ServerEntry { state, ..reader }, weighing(n * 10 + 1, WRITER, n / 10, f64::from(u32::from(n == 12)))]
+        [
+            ServerEntry { state, ..reader },
+            weighted_server(n * 10 + 1, WRITER, n / 10, f64::from(u32::from(n == 12))),
+        ]
     });
     let mut stand = Stand::new(long_aims(), fleet.collect());
     for n in 0..20 {
-        let one = request(n, stand.now);
-        stand.accept(one);
-        assert_eq!(stand.at(one.id), Some(ServerId(3770)), "request {n}");
-        stand.end(one.id, Outcome::Read);
-        assert_eq!(stand.at(one.id), Some(ServerId(121)), "request {n}");
-        stand.start(one.id);
-        stand.end(one.id, Outcome::Served);
+        let new_request = request(n, stand.now);
+        stand.accept(new_request);
+        assert_eq!(stand.at(new_request.id), Some(ServerId(3770)), "request {n}");
+        stand.end(new_request.id, Outcome::Read);
+        assert_eq!(stand.at(new_request.id), Some(ServerId(121)), "request {n}");
+        stand.start(new_request.id);
+        stand.end(new_request.id, Outcome::Served);
     }
 }
