--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,7 +1,7 @@
-//! What a list and a decision cost the module as the fleet grows: `cargo bench --bench decisions`.
+//! Benchmarks of list updates and decisions by fleet size: `cargo bench --bench decisions`.
 //!
-//! `list` is a full list that changes nothing; `request` is one request from its arrival to the end of its
-//! answer (a read and a write choice, with the events between), on a fleet that has served others before.
+//! `list` applies a full list that changes nothing. `request` handles one request from its arrival to the end of its
+//! answer (the choices of a reader and of a writer, with the events between), in a fleet that has served others.
 
 use divan::{Bencher, black_box};
 use milletseam::choice::Router;
@@ -11,7 +11,7 @@
     divan::main();
 }
 
-const SIZES: [usize; 4] = [10, 100, 1_000, 10_000];
+const FLEET_SIZES: [usize; 4] = [10, 100, 1_000, 10_000];
 
 fn settings() -> Settings {
     let mut settings = Settings::plain(3);
@@ -22,7 +22,7 @@
     settings
 }
 
-/// Half readers, half writers, in cells of ten.
+/// Returns as many readers as writers, in cells of ten.
 fn entries(count: usize) -> Vec<ServerEntry> {
     let entry = |n: usize| ServerEntry {
         id: ServerId(n as u32),
@@ -34,17 +34,18 @@
     (0..count).map(entry).collect()
 }
 
+/// A router with its fleet and the actions of the last event.
 struct Fleet {
     router: Router,
     now: Micros,
-    number: u64,
+    request_count: u64,
     actions: Vec<Action>,
 }
 
 impl Fleet {
     fn new(count: usize) -> Self {
         let router = Router::new(settings(), 7, 0).expect("sound settings");
-        let mut fleet = Fleet { router, now: 1_000_000, number: 0, actions: Vec::new() };
+        let mut fleet = Fleet { router, now: 1_000_000, request_count: 0, actions: Vec::new() };
         fleet.list(count);
         for _ in 0..500 {
             fleet.request();
@@ -63,8 +64,8 @@
         self.router.handle(self.now, event, &mut self.actions);
     }
 
-    /// The server that the last event has sent to.
-    fn sent(&self) -> ServerId {
+    /// Returns the server to which the last event has sent an attempt.
+    fn last_sent_server(&self) -> ServerId {
         let sent = self.actions.iter().find_map(|action| match action {
             Action::Send { server, .. } => Some(*server),
             _ => None,
@@ -72,7 +73,7 @@
         sent.expect("a send")
     }
 
-    fn ended(&mut self, request: RequestId, attempt: u32, server: ServerId, outcome: Outcome) {
+    fn end_attempt(&mut self, request: RequestId, attempt: u32, server: ServerId, outcome: Outcome) {
         let settled = outcome == Outcome::Served;
         let (kept_tokens, took, report) = (0, 50_000, None);
         let ended = Ended { request, attempt, server, outcome, kept_tokens, settled, took, report };
@@ -80,13 +81,13 @@
     }
 
     fn request(&mut self) {
-        self.number += 1;
+        self.request_count += 1;
         let mut id = [b'0'; 36];
-        id[16..].copy_from_slice(format!("{:020}", self.number).as_bytes());
+        id[16..].copy_from_slice(format!("{:020}", self.request_count).as_bytes());
         let request = Request {
             id: RequestId(id),
-            session: Some(SessionKey(self.number % 300)),
-            prefix: Some(PrefixKey(self.number % 40)),
+            session: Some(SessionKey(self.request_count % 300)),
+            prefix: Some(PrefixKey(self.request_count % 40)),
             prefix_tokens: 1_500,
             prompt_tokens: 2_500,
             max_tokens: 200,
@@ -94,21 +95,21 @@
             ..Request::plain()
         };
         self.handle(Event::Request(request));
-        let reader = self.sent();
-        self.ended(request.id, 0, reader, Outcome::Read);
-        let writer = self.sent();
+        let reader = self.last_sent_server();
+        self.end_attempt(request.id, 0, reader, Outcome::Read);
+        let writer = self.last_sent_server();
         self.handle(Event::Started { request: request.id, attempt: 1, server: writer, took: 40_000 });
-        self.ended(request.id, 1, writer, Outcome::Served);
+        self.end_attempt(request.id, 1, writer, Outcome::Served);
     }
 }
 
-#[divan::bench(args = SIZES)]
+#[divan::bench(args = FLEET_SIZES)]
 fn list(bencher: Bencher, servers: usize) {
     let mut fleet = Fleet::new(servers);
     bencher.bench_local(|| fleet.list(black_box(servers)));
 }
 
-#[divan::bench(args = SIZES)]
+#[divan::bench(args = FLEET_SIZES)]
 fn request(bencher: Bencher, servers: usize) {
     let mut fleet = Fleet::new(servers);
     bencher.bench_local(|| fleet.request());
