--- a/src/choice.rs
+++ b/src/choice.rs
@@ -138,9 +138,9 @@
     avoided_server: Option<ServerId>,
     /// Candidates have been probed for reports before the choice that is due.
     has_probed: bool,
-    /// Decides which cold servers may be sent the request,
+    /// Determines, together with the draw, which cold servers may be sent the request.
     draw_key: u64,
-    /// and how large their share is, once it has been drawn for the next choice.
+    /// The share of cold servers in the choice that is due, once it has been drawn.
     draw: Option<Draw>,
 }
 
--- a/src/choice/health.rs
+++ b/src/choice/health.rs
@@ -45,11 +45,12 @@
     }
 
     /// Checks the server of an attempt that takes longer than expected. A server that has handled no attempt since the
-    /// send is probed. If the probe stays unanswered, or the server answers only probes for the whole aim, the
-    /// server is ejected and the attempt is cancelled. A server that sends reports counts as merely slow if it is a
-    /// reader whose queue is longer than the time waited, or, where dispatchers are many and do not know the links,
-    /// a writer that fetches over one: a cancelled read may go on at its reader, and a transfer that is moved
-    /// starts again from the beginning. A hung server that still answers probes is therefore detected late.
+    /// send is probed. If the probe stays unanswered or probing is not allowed, or if the server answers only probes
+    /// for the whole aim, it is ejected and the attempt is cancelled. Two kinds of server that answer probes count as merely
+    /// slow even after the aim: a reader whose queue takes longer than the time waited, because a cancelled read may
+    /// go on, and, where dispatchers are many and do not know the links, a writer that fetches over one, because a
+    /// transfer that is moved starts again from the beginning. A hung server that answers probes is therefore
+    /// detected late.
     pub(super) fn on_attempt_overdue(
         &mut self,
         now: Micros,
--- a/src/choice/reader_selection.rs
+++ b/src/choice/reader_selection.rs
@@ -116,8 +116,8 @@
         f64::from(self.settings.dispatchers) > SPARSE_DISPATCHERS_PER_READER * self.readers.count
     }
 
-    /// Returns true if traffic is sparse and this dispatcher knows no reader that keeps the session. Other dispatchers
-    /// may.
+    /// Returns true if traffic is sparse and this dispatcher knows no reader that keeps the session, or the request has
+    /// none. Other dispatchers may have met the session.
     pub(super) fn is_unseen_session(&self, request: &Request) -> bool {
         let Some(key) = request.session.map(KeptKey::Session).filter(|_| self.traffic_is_sparse()) else {
             return self.traffic_is_sparse();
--- a/tests/choices.rs
+++ b/tests/choices.rs
@@ -392,8 +392,8 @@
         let cold = ServerEntry { started: Some(stand.now), ..server(1_000, READER, 0) };
         stand.list(ListScope::Changes, vec![cold]);
         for n in 0..5 {
-            for jammed in 0..20 {
-                let (server, report) = (ServerId(10 * jammed), report(0.1, 30_000.0));
+            for reader in 0..20 {
+                let (server, report) = (ServerId(10 * reader), report(0.1, 30_000.0));
                 stand.feed(Event::Probed { server, outcome: Outcome::Served, took: MS, report });
             }
             stand.accept(request(n, stand.now));
