--- a/src/choice/health.rs
+++ b/src/choice/health.rs
@@ -46,11 +46,11 @@
 
     /// Checks the server of an attempt that takes longer than expected. A server that has handled no attempt since the
     /// send is probed. If the probe stays unanswered or probing is not allowed, or if the server answers only probes
-    /// for the whole aim, it is ejected and the attempt is cancelled. Two kinds of server that answer probes count as merely
-    /// slow even after the aim: a reader whose queue takes longer than the time waited, because a cancelled read may
-    /// go on, and, where dispatchers are many and do not know the links, a writer that fetches over one, because a
-    /// transfer that is moved starts again from the beginning. A hung server that answers probes is therefore
-    /// detected late.
+    /// for the whole aim, it is ejected and the attempt is cancelled. Two kinds of server that answer probes count as
+    /// merely slow even after the aim: a reader whose queue takes longer than the time waited, because a cancelled
+    /// read may go on, and, where dispatchers are many and do not know the links, a writer that fetches over one,
+    /// because a transfer that is moved starts again from the beginning. A hung server that answers probes is
+    /// therefore detected late.
     pub(super) fn on_attempt_overdue(
         &mut self,
         now: Micros,
