--- a/src/choice.rs
+++ b/src/choice.rs
@@ -29,7 +29,7 @@
 
 /// A writer has capacity for another stream while its memory share is below this.
 const MAX_WRITER_MEMORY_SHARE: f64 = 0.9;
-/// The fraction of the longest possible answer that a stream is assumed to hold on average if there is no hint.
+/// The fraction of the longest answer that a stream is assumed to hold on average if there is no hint.
 const MEAN_ANSWER_FRACTION: f64 = 0.25;
 /// Fixed cost of a read (steps, network) in tokens, added so that short reads do not make a server look slow.
 const READ_OVERHEAD_TOKENS: f64 = 300.0;
@@ -48,13 +48,13 @@
 const COLD_BUDGET_FRACTION: f64 = 0.5;
 /// Retry delay advised to a client that is refused for lack of capacity. The refusal itself is sent at once.
 const CAPACITY_RETRY_AFTER: Micros = 1_000_000;
-/// Pause before a request for which no server was found is tried again, and the retry delay advised to its client
-/// when its attempts are used up: other dispatchers may be admitted.
+/// Pause before another choice if no server was found, and the retry delay advised to a client whose request
+/// has used up its attempts: other dispatchers may be admitted.
 const RESELECT_AFTER: Micros = 50_000;
 /// Interval at which averages are recomputed and expired entries are dropped.
 const MAINTENANCE_INTERVAL: Micros = 200_000;
 /// Before a choice, up to this many of the best candidates are probed for a report...
-const MAX_PROBES_PER_CHOICE: f64 = 3.0;
+const MAX_PROBES: f64 = 3.0;
 /// ... as far as the probes of a choice cost at most this fraction of the result...
 const MAX_PROBE_COST: f64 = 0.01;
 /// ... if their last report is older than this...
@@ -62,9 +62,9 @@
 /// ... and the choice waits for this fraction of the shortest aim.
 const REPORT_WAIT_FRACTION: f64 = 0.015;
 
-/// In a role with up to `full_scan_limit` servers, a choice considers each of them. In a larger one it considers the
-/// servers that keep the request's text and `drawn` others at random: the best of many is little better than the
-/// best of a few (docs/design/watched-files.md).
+/// In a role with up to `full_scan_limit` servers, a choice considers each of them. In a larger one it
+/// considers those that keep the request's text and `drawn` others at random: the best of many is little
+/// better than the best of a few (docs/design/watched-files.md).
 const SAMPLE: SampleSize = SampleSize { full_scan_limit: 128, drawn: 24 };
 
 /// What is known of one listed server.
@@ -96,11 +96,10 @@
     first_token_times: DecayedSums,
     /// Recent errors as `work`, and recent errors, reads and answers as `seconds`.
     errors: DecayedSums,
-    /// Set when attempts fail; cleared when the server begins an answer, serves or reads an attempt, or refuses one
-    /// as full or without state.
+    /// Avoided because attempts failed, apart from trial attempts, until it handles an attempt again.
     ejected: bool,
     /// A connection to it was reset; cleared like `ejected`.
-    connection_broken: bool,
+    was_reset: bool,
     trial_at: Micros,
     /// Tenants and classes that were refused as full, and until when each avoids the server.
     full_until: BTreeMap<(Option<TenantId>, ClassId), Micros>,
@@ -117,7 +116,7 @@
     /// Prompt tokens that the server has to read for this attempt.
     missing_tokens: f64,
     /// Tokens that waited at the server when the attempt was sent.
-    tokens_ahead: f64,
+    queued: f64,
     /// The reader's cell, if the read state has to cross that cell's link.
     link_cell: Option<CellId>,
     ended: bool,
@@ -131,13 +130,13 @@
     arrived_at: Micros,
     attempts: Vec<Attempt>,
     /// The reader at which the read state waits, and since when no writer has it.
-    read_state: Option<(ServerId, Micros)>,
+    state: Option<(ServerId, Micros)>,
     started: bool,
     /// The final answer has been given or is no longer owed.
     finished: bool,
     avoided_server: Option<ServerId>,
     /// Candidates have been probed for reports before the choice that is due.
-    has_probed: bool,
+    probed: bool,
     /// Determines, together with the draw, which cold servers may be sent the request.
     draw_key: u64,
     /// The share of cold servers in the choice that is due, once it has been drawn.
@@ -171,10 +170,10 @@
     load: f64,
     memory_share: f64,
     read_rate: f64,
-    /// Seconds from a send to the first token.
-    first_token_seconds: f64,
+    /// Seconds from a send to the first token (TTFT).
+    ttft_secs: f64,
     /// The same at the quickest writer.
-    min_first_token_seconds: f64,
+    min_ttft_secs: f64,
 }
 
 /// Makes the decisions of one dispatcher.
@@ -192,7 +191,6 @@
     writers: FleetAverages,
     /// Slow start of readers, and of all other servers.
     slow_starts: [SlowStart; 2],
-    /// The number of readers in this dispatcher's zone.
     readers_in_zone: f64,
     /// Tokens to be read for the requests that arrived, admitted or not, and their count as seconds.
     offered: DecayedSums,
@@ -242,9 +240,8 @@
     /// Returns the number of listed servers, and how many of them take no work or are avoided at present.
     pub fn server_counts(&self, now: Micros) -> (usize, usize) {
         let empty_request = OpenRequest::default();
-        let is_avoided =
-            |s: &&Server| !s.entry.takes_work() || self.avoidance(now, s, &empty_request).is_some();
-        (self.servers.len(), self.servers.values().filter(is_avoided).count())
+        let avoided = |s: &&Server| !s.entry.takes_work() || self.avoidance(now, s, &empty_request).is_some();
+        (self.servers.len(), self.servers.values().filter(avoided).count())
     }
 
     /// Handles one event and appends the resulting actions.
@@ -294,27 +291,25 @@
         let Some(open) = self.requests.get_mut(&id) else { return };
         if open.finished || open.started || open.pending_attempt().is_some() {
             return;
-        } else if open.read_state.is_some_and(|(_, since)| now + RESELECT_AFTER > since + held_for) {
+        } else if open.state.is_some_and(|(_, since)| now + RESELECT_AFTER > since + held_for) {
             // No writer fetches the state in time: release it, so that no memory stays pinned.
-            open.read_state = None;
+            open.state = None;
             actions.push(Action::Release(id));
         }
         let Some(open) = self.requests.get(&id) else { return };
         let attempts_left = self.settings.limits.attempts.saturating_sub(open.attempts.len() as u32);
-        // If the request may have run and must not run again, its client is told now, not when the aim has passed.
+        // If the request may have run and must not run again, its client is answered now, not after the aim.
         let class = self.class(&open.request);
-        let cannot_repeat =
-            open.attempts.iter().any(|a| a.may_have_run && now >= class.repeats_until(a.sent_at));
-        if attempts_left == 0 || cannot_repeat || now + self.settings.step >= open.request.expires {
+        let no_repeat = open.attempts.iter().any(|a| a.may_have_run && now >= class.repeats_until(a.sent_at));
+        if attempts_left == 0 || no_repeat || now + self.settings.step >= open.request.expires {
             return self.give_up(id, RESELECT_AFTER, actions);
         }
         let Some(open) = self.requests.get_mut(&id) else { return };
-        let read_attempt =
-            open.read_state.and_then(|(id, _)| open.attempts.iter().rev().find(|a| a.entry.id == id));
-        let read_cell = read_attempt.map(|a| (a.entry.cell, self.roster.reader_share(a.entry.cell)));
+        let read = open.state.and_then(|(id, _)| open.attempts.iter().rev().find(|a| a.entry.id == id));
+        let read_cell = read.map(|a| (a.entry.cell, self.roster.reader_share(a.entry.cell)));
         let slow_start = &mut self.slow_starts[usize::from(read_cell.is_some() || self.readers.count <= 0.0)];
         open.draw.get_or_insert_with(|| slow_start.draw(now, read_cell));
-        let (ranked, needs_read) = match open.read_state {
+        let (ranked, is_read) = match open.state {
             Some((reader, _)) => (self.rank_writers(now, id, reader), false),
             None => (self.rank_readers(now, id, attempts_left > 1), true),
         };
@@ -322,7 +317,7 @@
             let (candidates, ranked) = (std::mem::take(observed), ranked.clone());
             actions.push(Action::Explain(Box::new(Choice {
                 request: id,
-                reads: needs_read,
+                reads: is_read,
                 candidates,
                 ranked,
             })));
@@ -331,31 +326,29 @@
             return;
         }
         match ranked.first().copied() {
-            Some(reader) if needs_read && self.should_shed(now, id, reader) => {
+            Some(reader) if is_read && self.should_shed(now, id, reader) => {
                 return self.give_up(id, CAPACITY_RETRY_AFTER, actions);
             }
             Some(server) => return self.send(now, id, server, actions),
-            None if needs_read && (attempts_left < 2 || self.aim_has_passed(now, id)) => {
+            None if is_read && (attempts_left < 2 || self.aim_has_passed(now, id)) => {
                 return self.give_up(id, CAPACITY_RETRY_AFTER, actions);
             }
             None => {}
         }
         let Some(open) = self.requests.get_mut(&id) else { return };
-        // Only cold servers may be left: draw again.
-        (open.draw_key, open.draw) = (self.rng.random(), None);
+        (open.draw_key, open.draw) = (self.rng.random(), None); // only cold servers may be left
         self.set_timer(now + RESELECT_AFTER, TimerTask::Reselect(id), actions);
     }
 
     fn on_state_released(&mut self, now: Micros, id: RequestId, actions: &mut Actions) {
         if let Some(open) = self.requests.get_mut(&id) {
-            open.read_state = None;
+            open.state = None;
             self.advance(now, id, actions);
         }
     }
 
-    /// Probes the best candidates for reports before the choice among them, once for each choice. With hundreds
-    /// of dispatchers, each sends too seldom to a server to know its load from its own requests. Returns true if
-    /// a probe was sent and the choice waits for it.
+    /// Probes the best candidates for reports, once per choice, and returns true if the choice must wait. One
+    /// of hundreds of dispatchers sends too seldom to a server to know its load by its own requests.
     fn request_reports(
         &mut self,
         now: Micros,
@@ -363,15 +356,14 @@
         ranked: &[ServerId],
         actions: &mut Actions,
     ) -> bool {
-        let max_probes =
-            (MAX_PROBE_COST / self.settings.prices.probe.max(1e-6)).min(MAX_PROBES_PER_CHOICE) as usize;
-        let Some(open) = self.requests.get_mut(&id).filter(|open| !open.has_probed) else { return false };
+        let limit = (MAX_PROBE_COST / self.settings.prices.probe.max(1e-6)).min(MAX_PROBES) as usize;
+        let Some(open) = self.requests.get_mut(&id).filter(|open| !open.probed) else { return false };
         if !self.settings.limits.probes || ranked.len() < 2 {
             return false;
         }
-        open.has_probed = true;
+        open.probed = true;
         let mut probed_any = false;
-        for to in ranked.iter().take(max_probes) {
+        for to in ranked.iter().take(limit) {
             let Some(server) = self.servers.get_mut(to) else { continue };
             if server.reported_at.is_none_or(|at| at + FRESH_REPORT_AGE < now) {
                 (probed_any, server.probed_at) = (true, now);
@@ -399,16 +391,12 @@
     fn send(&mut self, now: Micros, id: RequestId, to: ServerId, actions: &mut Actions) {
         let (Some(open), Some(server)) = (self.requests.get(&id), self.servers.get(&to)) else { return };
         let request = open.request;
-        let reads = open.read_state.is_none();
+        let reads = open.state.is_none();
         let missing = (request.prompt_tokens - server.kept.tokens_of(now, &request)) as f64;
-        let tokens_ahead = self.load(now, server, 0.0);
-        let expected = if reads {
-            (tokens_ahead + missing) / self.read_rate(now, server)
-        } else {
-            self.writers.first_token_seconds
-        };
+        let queued = self.load(now, server, 0.0);
         let expected =
-            if server.role == Role::Mixed { expected + self.writers.first_token_seconds } else { expected };
+            if reads { (queued + missing) / self.read_rate(now, server) } else { self.writers.ttft_secs };
+        let expected = if server.role == Role::Mixed { expected + self.writers.ttft_secs } else { expected };
         let overdue_after = ((expected * OVERDUE_MULTIPLE * 1e6) as Micros).max(MIN_OVERDUE_AFTER);
         let hinted = request.hint.map(|hint| (hint / self.class(&request).token_aim.max(1)) as f64 / 2.0);
         let answer = hinted.unwrap_or(request.max_tokens as f64 * MEAN_ANSWER_FRACTION);
@@ -427,15 +415,14 @@
         }
         let (entry, role) = (server.entry, server.role);
         let Some(open) = self.requests.get_mut(&id) else { return };
-        let read_attempt =
-            open.attempts.iter().rev().find(|a| open.read_state.is_some_and(|(r, _)| r == a.entry.id));
-        let link_cell = read_attempt.map(|a| a.entry.cell).filter(|cell| *cell != entry.cell);
+        let read = open.attempts.iter().rev().find(|a| open.state.is_some_and(|(r, _)| r == a.entry.id));
+        let link_cell = read.map(|a| a.entry.cell).filter(|cell| *cell != entry.cell);
         open.attempts.push(Attempt {
             entry,
             sent_at: now,
             reads,
             missing_tokens: if reads { missing } else { 0.0 },
-            tokens_ahead,
+            queued,
             link_cell,
             ended: false,
             may_have_run: role != Role::Reader, // a read has no effect
@@ -453,7 +440,7 @@
         let Some(open) = self.requests.get_mut(&id).filter(|open| !open.started) else { return };
         let Some(&a) = open.attempts.get(attempt as usize).filter(|a| !a.ended) else { return };
         open.started = true;
-        open.read_state = None;
+        open.state = None;
         let took = now - a.sent_at;
         match a.link_cell {
             _ if a.reads => {}
@@ -467,7 +454,7 @@
             server.pending_attempts = server.pending_attempts.saturating_sub(1);
             server.unread_tokens = (server.unread_tokens - a.missing_tokens).max(0.0);
             if a.reads {
-                server.read_rate.add(now, a.missing_tokens + a.tokens_ahead + READ_OVERHEAD_TOKENS, took);
+                server.read_rate.add(now, a.missing_tokens + a.queued + READ_OVERHEAD_TOKENS, took);
                 server.kept.record(now, &open.request);
             } else if a.link_cell.is_none() {
                 server.first_token_times.add(now, 1.0, took);
@@ -482,8 +469,7 @@
         self.record_contact(now, from, alive, ended.report);
         let Some(open) = self.requests.get_mut(&id) else { return };
         let Some(a) = open.attempts.get_mut(ended.attempt as usize).filter(|a| !a.ended) else { return };
-        (a.ended, open.has_probed, open.draw_key, open.draw) =
-            (true, false, open.draw_key.wrapping_add(1), None);
+        (a.ended, open.probed, open.draw_key, open.draw) = (true, false, open.draw_key.wrapping_add(1), None);
         a.may_have_run &= !ended.outcome.never_ran();
         self.slow_starts[0].record_served(now, f64::from(ended.outcome == Outcome::Read));
         let had_started = open.started;
@@ -502,23 +488,21 @@
             record_outcome(now, server, &open.request, a, &ended);
         }
         match ended.outcome {
-            Outcome::Read => open.read_state = Some((from, now)),
+            Outcome::Read => open.state = Some((from, now)),
             Outcome::NoState => {
-                open.read_state = None;
+                open.state = None;
                 actions.push(Action::Release(id));
             }
             _ => open.avoided_server = Some(from),
         }
         // A failed connection attempt does not restart the time for which the state may be held.
-        if let Some((_, since)) = open.read_state.as_mut().filter(|_| ended.outcome != Outcome::ConnectFailed)
-        {
+        if let Some((_, since)) = open.state.as_mut().filter(|_| ended.outcome != Outcome::ConnectFailed) {
             *since = now;
         }
-        // A single connection may be reset at a healthy server. If its process has died, the next one fails too.
+        // A connection may be reset at a healthy server. If the process has died, the next one fails too.
         let server = self.servers.get_mut(&from).filter(|_| !had_started);
-        let broken = server.is_some_and(|s| {
-            ended.outcome == Outcome::Reset && std::mem::replace(&mut s.connection_broken, true)
-        });
+        let broken = server
+            .is_some_and(|s| ended.outcome == Outcome::Reset && std::mem::replace(&mut s.was_reset, true));
         if broken || ended.outcome == Outcome::ConnectFailed && !had_started {
             self.eject(now, from, actions);
         }
@@ -536,8 +520,8 @@
         self.advance(now, id, actions);
     }
 
-    /// Answers the client at once and advises when to retry: later if capacity is lacking, soon if the attempts
-    /// are used up, at once if its time has run out.
+    /// Answers the client at once and advises when to retry: later if capacity is lacking, soon if the
+    /// attempts are used up, at once if its time has run out.
     fn give_up(&mut self, id: RequestId, delay: Micros, actions: &mut Actions) {
         let Some(open) = self.requests.get(&id).filter(|open| !open.started) else { return };
         let maybe_ran = open.attempts.iter().any(|a| a.may_have_run || !a.ended);
--- a/src/choice/admission.rs
+++ b/src/choice/admission.rs
@@ -45,7 +45,7 @@
         let cell = server.entry.cell;
         let wait = writer
             .and_then(|id| self.servers.get(&id))
-            .map_or(0.0, |w| self.first_token_seconds(now, Some(cell).filter(|c| *c != w.entry.cell), w));
+            .map_or(0.0, |w| self.ttft_secs(now, Some(cell).filter(|c| *c != w.entry.cell), w));
         let class = self.class(&open.request);
         let aim_extension = class.aim_per_1000_tokens.saturating_mul(open.request.prompt_tokens) / 1000;
         let aim = class.aim.saturating_add(aim_extension).min(open.request.expires.saturating_sub(now));
--- a/src/choice/health.rs
+++ b/src/choice/health.rs
@@ -104,7 +104,7 @@
     match ended.outcome {
         Outcome::Read => {
             let missing = request.prompt_tokens.saturating_sub(ended.kept_tokens) as f64;
-            server.read_rate.add(now, missing + a.tokens_ahead + READ_OVERHEAD_TOKENS, ended.took);
+            server.read_rate.add(now, missing + a.queued + READ_OVERHEAD_TOKENS, ended.took);
             server.full_until.remove(&(request.tenant, request.class));
             server.latest_served_sent_at = server.latest_served_sent_at.max(a.sent_at);
             server.kept.record(now, request);
--- a/src/choice/load_estimate.rs
+++ b/src/choice/load_estimate.rs
@@ -51,10 +51,10 @@
     /// Returns the seconds from a send to the first token, as recently observed at the writer and averaged with all
     /// writers. For a state that has to cross the link of its reader's cell (`link_cell`), the observed time over
     /// that link applies if it is longer, because the link may be slow by itself.
-    pub(super) fn first_token_seconds(&self, now: Micros, link_cell: Option<CellId>, server: &Server) -> f64 {
+    pub(super) fn ttft_secs(&self, now: Micros, link_cell: Option<CellId>, server: &Server) -> f64 {
         let mean = |mut observed: DecayedSums| {
             observed.decay(now);
-            (observed.seconds + FIRST_TOKEN_PRIOR * self.writers.first_token_seconds)
+            (observed.seconds + FIRST_TOKEN_PRIOR * self.writers.ttft_secs)
                 / (observed.work + FIRST_TOKEN_PRIOR)
         };
         let link = link_cell.and_then(|cell| self.crossing_first_token_times.get(&cell));
@@ -82,14 +82,14 @@
             server.unreported_streams.retain(|(at, _)| at + REPORT_LAG >= now);
         }
         if alive {
-            (server.last_alive_at, server.ejected, server.connection_broken) = (now, false, false);
+            (server.last_alive_at, server.ejected, server.was_reset) = (now, false, false);
         }
     }
 
     /// Recomputes the averages over all readers and all other servers.
     pub(super) fn update_averages(&mut self, now: Micros) {
         self.local_first_token_times.decay(now);
-        self.writers.first_token_seconds =
+        self.writers.ttft_secs =
             (self.local_first_token_times.seconds + 0.1) / (self.local_first_token_times.work + 1.0);
         let (mut in_zone, mut min_seconds, mut work, mut seconds) =
             (0.0, f64::INFINITY, INITIAL_READ_RATE, 1.0);
@@ -115,12 +115,12 @@
                 work += own.work;
                 seconds += own.seconds;
             } else {
-                min_seconds = min_seconds.min(self.first_token_seconds(now, None, server));
+                min_seconds = min_seconds.min(self.ttft_secs(now, None, server));
             }
         }
         self.readers_in_zone = in_zone;
-        self.writers.min_first_token_seconds =
-            if min_seconds.is_finite() { min_seconds } else { self.writers.first_token_seconds };
+        self.writers.min_ttft_secs =
+            if min_seconds.is_finite() { min_seconds } else { self.writers.ttft_secs };
         for (is_reader, (reported_count, sum)) in [true, false].into_iter().zip(sums) {
             let fleet = if is_reader { &mut self.readers } else { &mut self.writers };
             let count = f64::max(reported_count, 1.0);
--- a/src/choice/writer_selection.rs
+++ b/src/choice/writer_selection.rs
@@ -21,9 +21,9 @@
             let Some(server) = self.servers.get(&sid) else { continue };
             let near = reader_entry.is_some_and(|e| e.cell == server.entry.cell);
             let share = self.memory_share(now, server);
-            let wait = self.first_token_seconds(now, reader_entry.map(|e| e.cell).filter(|_| !near), server);
+            let wait = self.ttft_secs(now, reader_entry.map(|e| e.cell).filter(|_| !near), server);
             let room = share < MAX_WRITER_MEMORY_SHARE
-                && wait < SLOW_WRITER_MULTIPLE * self.writers.min_first_token_seconds + slow_margin;
+                && wait < SLOW_WRITER_MULTIPLE * self.writers.min_ttft_secs + slow_margin;
             let (class, measure) = match (room, near, server.role) {
                 (true, true, Role::Writer) => (0, share),
                 (true, true, _) => (1, share),
