--- a/tests/choices.rs
+++ b/tests/choices.rs
@@ -277,7 +277,7 @@
     for n in 0..40 {
         harness.accept(request(n, harness.now));
     }
-    let taken = harness.requests.values().filter(|t| !t.over).count();
+    let taken = harness.requests.values().filter(|t| !t.finished).count();
     assert!((2..20).contains(&taken), "one reader admitted {taken} of 40 simultaneous prompts");
 }
 
@@ -585,7 +585,7 @@
             }
             let new_request = Request { prompt_tokens: 6_000, ..request(1, harness.now) };
             harness.accept(new_request);
-            *refused += usize::from(harness.requests[&new_request.id].over);
+            *refused += usize::from(harness.requests[&new_request.id].finished);
         }
     }
     assert_eq!(refused[0], 0, "a single dispatcher trusts the report");
@@ -654,7 +654,7 @@
         let new_request = request(n, harness.now);
         harness.accept(new_request);
         assert!(
-            harness.requests[&new_request.id].over || harness.pending_server(new_request.id).is_some(),
+            harness.requests[&new_request.id].finished || harness.pending_server(new_request.id).is_some(),
             "the request was neither sent nor answered"
         );
     }
@@ -665,7 +665,7 @@
         harness.end(new_request.id, Outcome::ConnectFailed);
     }
     assert!(
-        harness.requests[&new_request.id].over,
+        harness.requests[&new_request.id].finished,
         "the request must be answered when the last attempt has failed"
     );
     let mut harness = Harness::new(settings(), Vec::new());
@@ -673,7 +673,7 @@
     harness.accept(new_request);
     harness.advance(harness.settings.classes[0].aim + 100 * MS);
     assert!(
-        harness.requests[&new_request.id].over,
+        harness.requests[&new_request.id].finished,
         "without servers the request must be answered at its aim, not at its deadline"
     );
 }
