--- a/src/program/cli/mod.rs
+++ b/src/program/cli/mod.rs
@@ -14,7 +14,7 @@
 use clap_complete::Shell;
 
 use super::error::ProgramError;
-use super::life::{self, Life, Setup};
+use super::life::{self, Program, Setup};
 use crate::documents::read::Source;
 use crate::documents::report::Shown;
 use crate::membership::Refusal;
@@ -123,10 +123,10 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let name = setup.config.name.clone();
     let counted = runtime.block_on(async {
-        let life = Life::start(setup).await?;
+        let program = Program::start(setup).await?;
         // Only now: a start that fails tells one line, and that is why.
         tracing::info!(name, version = env!("CARGO_PKG_VERSION"), "started");
-        life.run().await
+        program.run().await
     })?;
     println!("{}", figures::line(&counted.all_metrics()));
     Ok(())
--- a/src/program/error.rs
+++ b/src/program/error.rs
@@ -7,7 +7,7 @@
 use crate::interface::SettingsError;
 use crate::membership::Refusal;
 use crate::protocol::config::ConfigError;
-use crate::protocol::settings::Fault;
+use crate::protocol::settings::FieldError;
 use crate::transport::inherited::InheritedError;
 
 /// Why the program can't run.
@@ -24,7 +24,7 @@
     Config(#[from] ConfigError),
     /// A setting is out of place.
     #[error("the settings can't be used: {0}")]
-    Fault(#[from] Fault),
+    Field(#[from] FieldError),
     /// The settings contradict themselves.
     #[error("the settings can't be used: {0}")]
     Settings(#[from] SettingsError),
--- a/src/program/life.rs
+++ b/src/program/life.rs
@@ -105,7 +105,7 @@
 }
 
 /// One run of the program.
-pub struct Life {
+pub struct Program {
     connections: Connections,
     hub: Hub,
     front: Front,
@@ -119,7 +119,7 @@
     report: Signal,
 }
 
-impl Life {
+impl Program {
     /// Starts the actors and listens; no client is invited yet.
     pub async fn start(setup: Setup) -> Result<Self, ProgramError> {
         let Setup { config, operator, file, accept } = setup;
@@ -196,7 +196,7 @@
         let knows = !config.known.members.is_empty() && operator.servers.is_none();
         let connections = budget.fronts;
         let front = Front { hub: hub.clone(), pool, names: Arc::new(names), phase: connections.phases() };
-        Ok(Life {
+        Ok(Program {
             connections,
             hub,
             front,
--- a/src/program/mod.rs
+++ b/src/program/mod.rs
@@ -10,5 +10,5 @@
 
 pub use crate::recovery::Phase;
 pub use error::ProgramError;
-pub use life::{Life, Setup};
+pub use life::{Program, Setup};
 pub use plugin::{Plugin, ToolCall};
--- a/src/protocol/collectd.rs
+++ b/src/protocol/collectd.rs
@@ -2,14 +2,14 @@
 
 use std::fmt::Write;
 
-use super::figures::{Figure, Kind};
+use super::figures::{Metric, MetricKind};
 
 /// A PUTVAL command for each figure.
-pub fn putvals(host: &str, figures: &[Figure], every_s: f64, unix_s: u64) -> String {
-    figures.iter().fold(String::new(), |mut text, Figure { name, value, kind }| {
+pub fn putvals(host: &str, metrics: &[Metric], every_s: f64, unix_s: u64) -> String {
+    metrics.iter().fold(String::new(), |mut text, Metric { name, value, kind }| {
         let kind = match kind {
-            Kind::Counter => "derive",
-            Kind::Gauge => "gauge",
+            MetricKind::Counter => "derive",
+            MetricKind::Gauge => "gauge",
         };
         // Writing to a String can't fail.
         let _ =
--- a/src/protocol/config.rs
+++ b/src/protocol/config.rs
@@ -46,18 +46,18 @@
     #[error("the seed '{0}' is not a hexadecimal number")]
     Seed(String),
     /// There are too few descriptors to serve anybody.
-    #[error("{0} sockets are too few: at least {LEAST_SOCKETS} are needed")]
+    #[error("{0} sockets are too few: at least {MIN_SOCKETS} are needed")]
     Sockets(usize),
 }
 
 /// With fewer descriptors than this, fronts and peers can't both be served.
-pub const LEAST_SOCKETS: usize = 64;
+pub const MIN_SOCKETS: usize = 64;
 
 impl Config {
     /// Reads a configuration.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let config: Config = serde_json::from_str(text)?;
-        if config.limits.sockets < LEAST_SOCKETS {
+        if config.limits.sockets < MIN_SOCKETS {
             return Err(ConfigError::Sockets(config.limits.sockets));
         }
         Ok(config)
--- a/src/protocol/figures.rs
+++ b/src/protocol/figures.rs
@@ -4,7 +4,7 @@
 
 /// How a figure moves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum MetricKind {
     /// It only grows, from the start of the process.
     Counter,
     /// It is a level.
@@ -13,33 +13,33 @@
 
 /// One figure.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Figure {
+pub struct Metric {
     /// Its name, with points between its parts.
     pub name: String,
     /// Its value.
     pub value: u64,
     /// How it moves.
-    pub kind: Kind,
+    pub kind: MetricKind,
 }
 
-impl Figure {
+impl Metric {
     /// A counter.
     pub fn counter(name: impl Into<String>, value: u64) -> Self {
-        Figure { name: name.into(), value, kind: Kind::Counter }
+        Metric { name: name.into(), value, kind: MetricKind::Counter }
     }
 
     /// A level.
     pub fn gauge(name: impl Into<String>, value: u64) -> Self {
-        Figure { name: name.into(), value, kind: Kind::Gauge }
+        Metric { name: name.into(), value, kind: MetricKind::Gauge }
     }
 }
 
 /// The lines for operators.
-pub fn lines(figures: &[Figure]) -> String {
-    figures.iter().fold(String::new(), |mut text, Figure { name, value, kind }| {
+pub fn lines(metrics: &[Metric]) -> String {
+    metrics.iter().fold(String::new(), |mut text, Metric { name, value, kind }| {
         let kind = match kind {
-            Kind::Counter => 'c',
-            Kind::Gauge => 'g',
+            MetricKind::Counter => 'c',
+            MetricKind::Gauge => 'g',
         };
         // Writing to a String can't fail.
         let _ = writeln!(text, "app.{name}:{value}|{kind}");
@@ -48,7 +48,7 @@
 }
 
 /// The same in one line, as it is printed on request and at the exit.
-pub fn line(figures: &[Figure]) -> String {
-    let parts = figures.iter().map(|Figure { name, value, .. }| format!("{name} {value}"));
+pub fn line(metrics: &[Metric]) -> String {
+    let parts = metrics.iter().map(|Metric { name, value, .. }| format!("{name} {value}"));
     parts.collect::<Vec<_>>().join(", ")
 }
--- a/src/protocol/framing.rs
+++ b/src/protocol/framing.rs
@@ -2,9 +2,9 @@
 //! `Content-Length` beside `Transfer-Encoding` unseen, and such a body may hide a second request.
 
 /// The largest head that is read.
-pub const MOST_HEAD: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// The most headers, as the library behind takes them.
-const MOST_HEADERS: usize = 100;
+const MAX_HEADERS: usize = 100;
 
 /// What the first bytes of a request say.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -16,17 +16,17 @@
     /// A head of so many bytes, and a body that tells its own end.
     Chunked(usize),
     /// This is no head, or one that can be taken in two ways.
-    Bad,
+    Malformed,
 }
 
 /// Reads the head at the start of these bytes.
 pub fn framing(bytes: &[u8]) -> Framing {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let end = match request.parse(bytes) {
-        Ok(httparse::Status::Complete(end)) if end <= MOST_HEAD => end,
-        Ok(httparse::Status::Partial) if bytes.len() < MOST_HEAD => return Framing::Partial,
-        _ => return Framing::Bad,
+        Ok(httparse::Status::Complete(end)) if end <= MAX_HEAD_BYTES => end,
+        Ok(httparse::Status::Partial) if bytes.len() < MAX_HEAD_BYTES => return Framing::Partial,
+        _ => return Framing::Malformed,
     };
     let all = |name: &'static str| request.headers.iter().filter(move |h| h.name.eq_ignore_ascii_case(name));
     let mut lengths = all("content-length").map(|header| length(header.value));
@@ -34,7 +34,7 @@
         (None, None) => Framing::Sized(end, 0),
         (None, Some(Some(first))) if lengths.all(|other| other == Some(first)) => Framing::Sized(end, first),
         (Some(_), None) => Framing::Chunked(end),
-        _ => Framing::Bad,
+        _ => Framing::Malformed,
     }
 }
 
--- a/src/protocol/framing/tests.rs
+++ b/src/protocol/framing/tests.rs
@@ -16,8 +16,11 @@
         "Content-Length: 99999999999999999999\r\n",
         "No colon\r\n",
     ] {
-        assert_eq!(read(bad), Framing::Bad, "{bad}");
+        assert_eq!(read(bad), Framing::Malformed, "{bad}");
     }
     assert_eq!(framing(b"POST /v1/x HTTP/1.1\r\nX-Fa"), Framing::Partial);
-    assert_eq!(framing(&[b"GET / HTTP/1.1\r\nX: ", "x".repeat(MOST_HEAD).as_bytes()].concat()), Framing::Bad);
+    assert_eq!(
+        framing(&[b"GET / HTTP/1.1\r\nX: ", "x".repeat(MAX_HEAD_BYTES).as_bytes()].concat()),
+        Framing::Malformed
+    );
 }
--- a/src/protocol/graphite.rs
+++ b/src/protocol/graphite.rs
@@ -2,11 +2,11 @@
 
 use std::fmt::Write;
 
-use super::figures::Figure;
+use super::figures::Metric;
 
 /// The lines for figures.
-pub fn lines(prefix: &str, figures: &[Figure], unix_s: u64) -> String {
-    figures.iter().fold(String::new(), |mut text, Figure { name, value, .. }| {
+pub fn lines(prefix: &str, metrics: &[Metric], unix_s: u64) -> String {
+    metrics.iter().fold(String::new(), |mut text, Metric { name, value, .. }| {
         // Writing to a String can't fail.
         let _ = writeln!(text, "{prefix}.{name} {value} {unix_s}");
         text
--- a/src/protocol/jsonrpc.rs
+++ b/src/protocol/jsonrpc.rs
@@ -13,7 +13,7 @@
 /// The notification that tells a client what a tool answered that its server has called.
 pub const TOOL_RESULT: &str = "notifications/tool_result";
 /// The most messages in a batch.
-pub const MOST_BATCH: usize = 32;
+pub const MAX_BATCH: usize = 32;
 /// The largest event that is read from a server.
 const MOST_EVENT: usize = 1024 * 1024;
 
@@ -129,18 +129,18 @@
 #[derive(Debug, PartialEq)]
 pub enum Post {
     /// A message by itself; a fault comes with the id that it belongs to, where there is one.
-    One(Result<Message, (Value, RpcError)>),
+    Single(Result<Message, (Value, RpcError)>),
     /// A batch.
-    Many(Vec<Result<Message, (Value, RpcError)>>),
+    Batch(Vec<Result<Message, (Value, RpcError)>>),
 }
 
 /// Reads the body of a POST.
 pub fn parse(body: &[u8]) -> Result<Post, RpcError> {
     match serde_json::from_slice(body).map_err(|_| RpcError::Parse)? {
         Value::Array(batch) if batch.is_empty() => Err(RpcError::Invalid("an empty batch")),
-        Value::Array(batch) if batch.len() > MOST_BATCH => Err(RpcError::Invalid("too long a batch")),
-        Value::Array(batch) => Ok(Post::Many(batch.into_iter().map(message).collect())),
-        value => Ok(Post::One(message(value))),
+        Value::Array(batch) if batch.len() > MAX_BATCH => Err(RpcError::Invalid("too long a batch")),
+        Value::Array(batch) => Ok(Post::Batch(batch.into_iter().map(message).collect())),
+        value => Ok(Post::Single(message(value))),
     }
 }
 
--- a/src/protocol/jsonrpc/tests.rs
+++ b/src/protocol/jsonrpc/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn faults_have_the_codes_of_the_standard() {
     let code = |text: &str| match parse(text.as_bytes()) {
-        Err(error) | Ok(Post::One(Err((_, error)))) => error.code(),
+        Err(error) | Ok(Post::Single(Err((_, error)))) => error.code(),
         other => panic!("{other:?}"),
     };
     assert_eq!(code("{"), -32700);
--- a/src/protocol/platform.rs
+++ b/src/protocol/platform.rs
@@ -11,7 +11,7 @@
 use crate::interface::*;
 
 /// The most that a body may hold.
-pub const MOST_BODY: usize = 256 * 1024;
+pub const MAX_BODY_BYTES: usize = 256 * 1024;
 /// Header that names a request.
 pub const ID: &str = "x-correlation-id";
 /// Header that tells how long the sender will wait.
@@ -109,7 +109,7 @@
 }
 
 /// Whether an answer's body tells its own end: where only its connection's end does, a part looks like the whole.
-pub fn tells_its_end(headers: &HeaderMap) -> bool {
+pub fn is_self_delimiting(headers: &HeaderMap) -> bool {
     headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
 
@@ -158,12 +158,12 @@
 /// Bytes that are no stream of events, though they came as one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the stream is spoilt")]
-pub struct Spoilt;
+pub struct MalformedStream;
 
 /// Watches a stream of events go by for what its end tells, and for what does not belong into it: a chunk
 /// whose size is wrong brings another's frame in its midst, or goes on for ever.
 #[derive(Default)]
-pub struct Tail {
+pub struct StreamInspector {
     /// The event that has not ended yet.
     held: BytesMut,
     /// Data lines so far: comments are no events.
@@ -184,15 +184,15 @@
     prompt_tokens_details: Option<ReadReply>,
 }
 
-impl Tail {
+impl StreamInspector {
     /// The longest event: what goes on beyond it is none.
     const MOST_EVENT: usize = 256 * 1024;
 
     /// Takes the next bytes; gives all events that are whole now, unchanged.
-    pub fn feed(&mut self, bytes: Bytes) -> Result<Bytes, Spoilt> {
+    pub fn feed(&mut self, bytes: Bytes) -> Result<Bytes, MalformedStream> {
         // Events have none: it is the frame of a chunk that another has swallowed, perhaps the last one.
         if bytes.contains(&b'\r') {
-            return Err(Spoilt);
+            return Err(MalformedStream);
         }
         let all = if self.held.is_empty() {
             bytes
@@ -203,7 +203,7 @@
         let whole = all.windows(2).rposition(|pair| pair == b"\n\n").map_or(0, |at| at + 2);
         self.held.extend_from_slice(&all[whole..]);
         if self.held.len() > Self::MOST_EVENT {
-            return Err(Spoilt);
+            return Err(MalformedStream);
         }
         let whole = all.slice(..whole);
         whole.split(|byte| *byte == b'\n').try_for_each(|line| self.line(line))?;
@@ -211,18 +211,18 @@
     }
 
     /// What is left when the stream has ended whole.
-    pub fn rest(&mut self) -> Result<Bytes, Spoilt> {
+    pub fn finish(&mut self) -> Result<Bytes, MalformedStream> {
         let rest = self.held.split().freeze();
         rest.split(|byte| *byte == b'\n').try_for_each(|line| self.line(line))?;
         Ok(rest)
     }
 
-    fn line(&mut self, line: &[u8]) -> Result<(), Spoilt> {
+    fn line(&mut self, line: &[u8]) -> Result<(), MalformedStream> {
         const FIELDS: [&str; 4] = ["data", "event", "id", "retry"];
-        let line = std::str::from_utf8(line).map_err(|_| Spoilt)?;
+        let line = std::str::from_utf8(line).map_err(|_| MalformedStream)?;
         let Some((name, value)) = line.split_once(':') else {
             self.events += u64::from(line == "data");
-            return if line.is_empty() || FIELDS.contains(&line) { Ok(()) } else { Err(Spoilt) };
+            return if line.is_empty() || FIELDS.contains(&line) { Ok(()) } else { Err(MalformedStream) };
         };
         self.events += u64::from(name == "data");
         if name.is_empty() {
@@ -237,7 +237,7 @@
                 self.kept_tokens = details.cached_tokens;
             }
         }
-        if name.is_empty() || FIELDS.contains(&name) { Ok(()) } else { Err(Spoilt) }
+        if name.is_empty() || FIELDS.contains(&name) { Ok(()) } else { Err(MalformedStream) }
     }
 }
 
--- a/src/protocol/platform/tests.rs
+++ b/src/protocol/platform/tests.rs
@@ -14,7 +14,7 @@
 
 #[test]
 fn the_tail_of_a_stream_tells_kept_tokens_and_load_across_parts() {
-    let mut tail = Tail::default();
+    let mut inspector = StreamInspector::default();
     let text = concat!(
         "data: {\"choices\":[{\"delta\":{\"content\":\"x\"}}]}\n\n",
         "data: {\"choices\":[],\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":4096}}}\n\n",
@@ -22,25 +22,25 @@
     );
     let mut passed = Vec::new();
     for part in text.as_bytes().chunks(7) {
-        let whole = tail.feed(Bytes::copy_from_slice(part)).expect("events");
+        let whole = inspector.feed(Bytes::copy_from_slice(part)).expect("events");
         assert!(whole.is_empty() || whole.ends_with(b"\n\n"), "{whole:?}");
         passed.extend_from_slice(&whole);
     }
-    assert_eq!((passed.as_slice(), tail.rest()), (text.as_bytes(), Ok(Bytes::new())));
-    assert_eq!((tail.kept_tokens, tail.load.as_deref()), (4096, Some("TEXT x0=0.5")));
+    assert_eq!((passed.as_slice(), inspector.finish()), (text.as_bytes(), Ok(Bytes::new())));
+    assert_eq!((inspector.kept_tokens, inspector.load.as_deref()), (4096, Some("TEXT x0=0.5")));
 }
 
 #[test]
 fn what_is_no_event_spoils_a_stream() {
-    let feed = |text: &str| Tail::default().feed(Bytes::from(text.to_string()));
-    assert_eq!(feed("data: 1\n\n2a\r\ndata: 2\n\n"), Err(Spoilt));
+    let feed = |text: &str| StreamInspector::default().feed(Bytes::from(text.to_string()));
+    assert_eq!(feed("data: 1\n\n2a\r\ndata: 2\n\n"), Err(MalformedStream));
     assert_eq!(
         feed("data: 1\n\n: X-Backend-Load: TEXT what=?\n\nda"),
         Ok("data: 1\n\n: X-Backend-Load: TEXT what=?\n\n".into())
     );
-    let mut tail = Tail::default();
-    let endless = std::iter::repeat_with(|| tail.feed("data: xxxxxxxx".repeat(1024).into())).take(40);
-    assert_eq!(endless.last(), Some(Err(Spoilt)));
+    let mut inspector = StreamInspector::default();
+    let endless = std::iter::repeat_with(|| inspector.feed("data: xxxxxxxx".repeat(1024).into())).take(40);
+    assert_eq!(endless.last(), Some(Err(MalformedStream)));
 }
 
 #[test]
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -12,7 +12,7 @@
 /// What is wrong with a field.
 #[derive(Clone, Debug, PartialEq, Error)]
 #[error("{field}: {problem}")]
-pub struct Fault {
+pub struct FieldError {
     /// The field, or the message where no field is to blame.
     pub field: String,
     /// What is wrong.
@@ -20,25 +20,25 @@
 }
 
 /// A value, or the field that keeps it from being read.
-pub type Parsed<T> = Result<T, Fault>;
+pub type Parsed<T> = Result<T, FieldError>;
 
 /// Blames a field.
-pub fn fault<T>(field: &str, problem: impl Into<String>) -> Parsed<T> {
-    Err(Fault { field: field.to_string(), problem: problem.into() })
+pub fn field_error<T>(field: &str, problem: impl Into<String>) -> Parsed<T> {
+    Err(FieldError { field: field.to_string(), problem: problem.into() })
 }
 
 /// A finite number.
 pub fn number(field: &str, text: &str) -> Parsed<f64> {
     match text.parse::<f64>() {
         Ok(value) if value.is_finite() => Ok(value),
-        _ => fault(field, "not a number"),
+        _ => field_error(field, "not a number"),
     }
 }
 
 /// Milliseconds, perhaps fractional, as whole microseconds.
 pub fn micros(field: &str, ms: f64) -> Parsed<Micros> {
     let us = (ms * 1000.0).round();
-    if (0.0..9.0e18).contains(&us) { Ok(us as Micros) } else { fault(field, "not a time in range") }
+    if (0.0..9.0e18).contains(&us) { Ok(us as Micros) } else { field_error(field, "not a time in range") }
 }
 
 /// A digest that is the same in every process (FNV-1a).
@@ -89,7 +89,7 @@
 pub fn index(field: &str, names: &[String], name: &str) -> Parsed<u16> {
     match names.iter().position(|n| n == name).and_then(|i| u16::try_from(i).ok()) {
         Some(i) => Ok(i),
-        None => fault(field, format!("'{name}' is not among the settings")),
+        None => field_error(field, format!("'{name}' is not among the settings")),
     }
 }
 
@@ -220,7 +220,7 @@
     pub fn settings(&self) -> Parsed<Settings> {
         let per = |key: &str, values: &[f64], at: usize| match values.get(at) {
             Some(value) => Ok(*value),
-            None => fault(&format!("Info {key}"), "has too few entries"),
+            None => field_error(&format!("Info {key}"), "has too few entries"),
         };
         let extra = &self.extra;
         let mut kinds = Vec::new();
@@ -229,12 +229,12 @@
                 Some("read") => Role::Reader,
                 Some("write") => Role::Writer,
                 Some("both") => Role::Mixed,
-                Some(_) => return fault("Info Extra.KindRole", "none of read, write and both"),
-                None => return fault("Info Extra.KindRole", "has too few entries"),
+                Some(_) => return field_error("Info Extra.KindRole", "none of read, write and both"),
+                None => return field_error("Info Extra.KindRole", "has too few entries"),
             };
             let memory_tokens = per("Extra.KvTokens", &extra.kv_tokens, at)? as u64;
             if memory_tokens == 0 {
-                return fault("Info Extra.KvTokens", format!("'{model}' has no memory"));
+                return field_error("Info Extra.KvTokens", format!("'{model}' has no memory"));
             }
             kinds.push(Kind { role, memory_tokens });
         }
@@ -296,17 +296,17 @@
                 "answers" => ReportSource::Answers,
                 "probe" => ReportSource::Probes,
                 "none" => ReportSource::Unavailable,
-                _ => return fault("Info Report.Source", "none of answers, probe and none"),
+                _ => return field_error("Info Report.Source", "none of answers, probe and none"),
             },
             discovery: match self.discovery.as_str() {
                 "pushed" => Discovery::Pushed,
                 "on_request" => Discovery::OnRequest,
-                _ => return fault("Info Discovery", "neither pushed nor on_request"),
+                _ => return field_error("Info Discovery", "neither pushed nor on_request"),
             },
         };
         match settings.check() {
             Ok(()) => Ok(settings),
-            Err(error) => fault(place(&error), error.to_string()),
+            Err(error) => field_error(place(&error), error.to_string()),
         }
     }
 
@@ -349,8 +349,8 @@
             ("dedup", "all") => Effect::Keyed(KeyGroup::All),
             ("dedup", "zone") => Effect::Keyed(KeyGroup::Zone),
             ("dedup", "cell") => Effect::Keyed(KeyGroup::Cell),
-            ("dedup", _) => return fault("Info Classes.KeyScope", "none of all, zone and cell"),
-            _ => return fault("Info Classes.Repeat", "none of retryable, dedup and fragile"),
+            ("dedup", _) => return field_error("Info Classes.KeyScope", "none of all, zone and cell"),
+            _ => return field_error("Info Classes.Repeat", "none of retryable, dedup and fragile"),
         })
     }
 }
--- a/src/transport/budget.rs
+++ b/src/transport/budget.rs
@@ -4,7 +4,7 @@
 use super::clock::Clock;
 use super::front::connection::Connections;
 use super::peer::idle::ConnectionBudget;
-use crate::protocol::config::LEAST_SOCKETS;
+use crate::protocol::config::MIN_SOCKETS;
 use crate::recovery::Socket;
 
 /// Share of the available descriptors that is for client connections. Each client connection has at most one call to
@@ -26,7 +26,7 @@
     /// Splits `sockets` descriptors, or as many as the system allows this process if that is less. `socket` says
     /// whether the clients' listening socket is shared with other processes.
     pub fn new(sockets: usize, socket: Socket, clock: Clock) -> Self {
-        let allowed = system_limit().map_or(sockets, |limit| sockets.min(limit.max(LEAST_SOCKETS)));
+        let allowed = system_limit().map_or(sockets, |limit| sockets.min(limit.max(MIN_SOCKETS)));
         if allowed < sockets {
             tracing::warn!(
                 sockets,
--- a/src/transport/front/listener.rs
+++ b/src/transport/front/listener.rs
@@ -31,7 +31,7 @@
 
 use super::connection::{Connection, Connections, Place};
 use crate::protocol::framing::{Framing, framing};
-use crate::protocol::platform::MOST_BODY;
+use crate::protocol::platform::MAX_BODY_BYTES;
 use crate::recovery::{Phase, Socket};
 
 /// Bytes read at once while a head is awaited.
@@ -39,7 +39,7 @@
 /// What no parser takes for a head: hyper answers it with 400 and closes.
 const NO_HEAD: &[u8] = b"-\r\n\r\n";
 /// Bytes that are passed over behind the last answer: twice a body that is refused for its length.
-const PASSED_OVER: usize = 2 * MOST_BODY;
+const PASSED_OVER: usize = 2 * MAX_BODY_BYTES;
 /// The client's end is waited for so long: what it still sends would otherwise have the connection reset, and with it
 /// what it has not read yet of the answer.
 const LINGER: Duration = Duration::from_millis(200);
@@ -317,7 +317,7 @@
                 self.pass = head;
                 self.reading = Reading::Rest;
             }
-            Framing::Bad => {
+            Framing::Malformed => {
                 self.held = BytesMut::from(NO_HEAD);
                 self.pass = NO_HEAD.len();
                 self.reading = Reading::Rest;
--- a/src/transport/front/platform.rs
+++ b/src/transport/front/platform.rs
@@ -17,7 +17,7 @@
 
 use super::listener::WholeBy;
 use crate::interface::Micros;
-use crate::protocol::platform::{self, MOST_BODY};
+use crate::protocol::platform::{self, MAX_BODY_BYTES};
 use crate::protocol::settings::Names;
 use crate::recovery::Phase;
 use crate::routing::{Admission, PoolId};
@@ -48,10 +48,10 @@
 /// Reads a body; the status that refuses it otherwise. A length that is too large is refused before the bytes
 /// have come, and one that does not arrive when its time is over.
 pub async fn read_body(whole_by: Option<WholeBy>, body: axum::body::Body) -> Result<Bytes, StatusCode> {
-    if body.size_hint().lower() > MOST_BODY as u64 {
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
-    let body = Limited::new(body, MOST_BODY).collect();
+    let body = Limited::new(body, MAX_BODY_BYTES).collect();
     let read = match whole_by {
         Some(WholeBy(at)) => tokio::time::timeout_at(at, body).await,
         None => Ok(body.await),
--- a/src/transport/front/rpc.rs
+++ b/src/transport/front/rpc.rs
@@ -88,9 +88,9 @@
         Err(error) => return fault(StatusCode::BAD_REQUEST, &Value::Null, error),
     };
     let messages = match jsonrpc::parse(&body) {
-        Ok(Post::One(Err((id, error)))) => return fault(StatusCode::BAD_REQUEST, &id, error),
-        Ok(Post::One(message)) => vec![message],
-        Ok(Post::Many(messages)) => messages,
+        Ok(Post::Single(Err((id, error)))) => return fault(StatusCode::BAD_REQUEST, &id, error),
+        Ok(Post::Single(message)) => vec![message],
+        Ok(Post::Batch(messages)) => messages,
         Err(error) => return fault(StatusCode::BAD_REQUEST, &Value::Null, error),
     };
     let (told, events) = mpsc::channel(MESSAGES_AHEAD);
--- a/src/transport/hub/message.rs
+++ b/src/transport/hub/message.rs
@@ -10,7 +10,7 @@
 
 use crate::interface::*;
 use crate::membership::Generation;
-use crate::protocol::figures::Figure;
+use crate::protocol::figures::Metric;
 use crate::routing::{Admission, ClassTotals, Input, PoolId, Totals};
 use crate::transport::budget::Budget;
 
@@ -115,12 +115,12 @@
 
 impl Counters {
     /// Returns the metrics that operators query, under the names that they use.
-    pub fn service_metrics(&self) -> Vec<Figure> {
+    pub fn service_metrics(&self) -> Vec<Metric> {
         let mut figures = Vec::new();
         for (class, ClassTotals { served, refused, failed }) in &self.handled {
             let by_end = [("passed", served), ("dropped", refused), ("bad_gateway", failed)];
             figures
-                .extend(by_end.map(|(end, count)| Figure::counter(format!("handled.{class}.{end}"), *count)));
+                .extend(by_end.map(|(end, count)| Metric::counter(format!("handled.{class}.{end}"), *count)));
         }
         let Totals { written, unreachable, released, released_late, released_unheard, .. } = self.totals;
         let Totals { open, known, avoided, .. } = self.totals;
@@ -131,14 +131,14 @@
             ("late_releases", released_late),
             ("unheard_fetches", released_unheard),
         ];
-        figures.extend(counters.map(|(name, count)| Figure::counter(name, count)));
+        figures.extend(counters.map(|(name, count)| Metric::counter(name, count)));
         let levels = [("in_progress", open), ("known_instances", known), ("skipped_instances", avoided)];
-        figures.extend(levels.map(|(name, level)| Figure::gauge(name, level)));
+        figures.extend(levels.map(|(name, level)| Metric::gauge(name, level)));
         figures
     }
 
     /// Returns all metrics: the program's own, followed by the service metrics.
-    pub fn all_metrics(&self) -> Vec<Figure> {
+    pub fn all_metrics(&self) -> Vec<Metric> {
         let Totals { taken, sent, served, refused, failed, broken, gone, probes, open, .. } = self.totals;
         let counters = [
             ("taken", taken),
@@ -150,8 +150,8 @@
             ("gone", gone),
             ("probes", probes),
         ];
-        let counters = counters.map(|(name, count)| Figure::counter(name, count));
-        counters.into_iter().chain([Figure::gauge("open", open)]).chain(self.service_metrics()).collect()
+        let counters = counters.map(|(name, count)| Metric::counter(name, count));
+        counters.into_iter().chain([Metric::gauge("open", open)]).chain(self.service_metrics()).collect()
     }
 }
 
--- a/src/transport/peer/mod.rs
+++ b/src/transport/peer/mod.rs
@@ -21,7 +21,7 @@
 use self::connector::{Clients, RequestTracker, TrackedBody, is_unreadable};
 use super::hub::message::{Body, Hub, Message, Part, Payload};
 use crate::interface::*;
-use crate::protocol::platform::{self, Spoilt, Tail};
+use crate::protocol::platform::{self, MalformedStream, StreamInspector};
 use crate::protocol::settings::{Links, ReportField};
 use crate::routing::{CancelReason, ConnectionChoice, Evidence, Input, PoolId};
 
@@ -381,11 +381,11 @@
     ) -> AttemptEnd {
         let mut load = load_header(response.headers());
         let content_type = response.headers().get(CONTENT_TYPE).cloned();
-        let is_delimited = platform::tells_its_end(response.headers());
+        let is_delimited = platform::is_self_delimiting(response.headers());
         let mut body = response.into_body();
         let (parts, receiver) = mpsc::channel(MAX_BUFFERED_PARTS);
         let mut receiver = Some(receiver);
-        let mut tail = Tail::default();
+        let mut inspector = StreamInspector::default();
         // Comments before the first event, which don't begin the stream.
         let mut before_first_event = BytesMut::new();
         // A tool server may be silent for as long as its nested calls take.
@@ -409,12 +409,12 @@
                 None => break,
             };
             // Only whole events are passed on, so a stream that is corrupt in its first event has not begun.
-            let events_before = tail.events;
-            let mut part = match self.whole_events(&mut tail, part) {
+            let events_before = inspector.events;
+            let mut part = match self.whole_events(&mut inspector, part) {
                 Ok(part) => part,
-                Err(Spoilt) => return AttemptEnd::with_outcome(Outcome::Error),
+                Err(MalformedStream) => return AttemptEnd::with_outcome(Outcome::Error),
             };
-            let brings_event = !is_platform || tail.events > events_before;
+            let brings_event = !is_platform || inspector.events > events_before;
             // If data arrives all the time, the biased select above never gets to the timer.
             if !brings_event && Instant::now() >= event_due {
                 return AttemptEnd::with_outcome(Outcome::Error);
@@ -442,7 +442,7 @@
                 self.context.hub.send(Message::AnswerStarted { request, attempt: number, body }).await;
             }
         }
-        let Ok(rest) = tail.rest() else { return AttemptEnd::with_outcome(Outcome::Error) };
+        let Ok(rest) = inspector.finish() else { return AttemptEnd::with_outcome(Outcome::Error) };
         if receiver.is_some() {
             return AttemptEnd::with_outcome(Outcome::Error);
         } else if is_platform && !is_delimited {
@@ -454,15 +454,15 @@
         {
             return AttemptEnd::with_outcome(Outcome::Cancelled);
         }
-        load = tail.load.or(load);
-        AttemptEnd { outcome: Outcome::Served, kept_tokens: tail.kept_tokens, load }
+        load = inspector.load.or(load);
+        AttemptEnd { outcome: Outcome::Served, kept_tokens: inspector.kept_tokens, load }
     }
 
     /// Returns the events that are whole so far. The answer of a tool server need not consist of events, and is
     /// returned as it is.
-    fn whole_events(&self, tail: &mut Tail, part: Bytes) -> Result<Bytes, Spoilt> {
+    fn whole_events(&self, inspector: &mut StreamInspector, part: Bytes) -> Result<Bytes, MalformedStream> {
         match self.context.dialect {
-            Dialect::Platform => tail.feed(part),
+            Dialect::Platform => inspector.feed(part),
             Dialect::Tools => Ok(part),
         }
     }
--- a/src/transport/relay.rs
+++ b/src/transport/relay.rs
@@ -18,7 +18,7 @@
 use super::hub::message::{Body, Hub, Part, Payload, Reply, RequestHandle};
 use crate::interface::*;
 use crate::protocol::jsonrpc::{self, Events, Message, RpcError};
-use crate::protocol::platform::{self, MOST_BODY};
+use crate::protocol::platform::{self, MAX_BODY_BYTES};
 use crate::routing::{Admission, PoolId};
 
 /// The deepest nesting of calls, so that servers that call each other in a circle come to an end.
@@ -101,7 +101,7 @@
             let expires_at = Instant::now() + Duration::from_micros(time_left);
             let id = format!("{}-{}", self.id_prefix, self.next_number.fetch_add(1, Ordering::Relaxed));
             let payload = self.payload(&id, jsonrpc::call(&id, &call.params));
-            if payload.body.len() > MOST_BODY {
+            if payload.body.len() > MAX_BODY_BYTES {
                 return Err(RpcError::Invalid("too large"));
             }
             let prompt_tokens = payload.body.len() as u64 / CHARACTERS_PER_TOKEN;
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -9,7 +9,7 @@
 use crate::choice::Router;
 use crate::interface::*;
 use crate::protocol::settings::{
-    Fault, Info, Names, Parsed, ReportField, digest, fault, index, micros, number,
+    FieldError, Info, Names, Parsed, ReportField, digest, field_error, index, micros, number,
 };
 
 /// Input that cannot be processed, or output that cannot be written.
@@ -43,13 +43,13 @@
         let mut fields = Vec::new();
         while !rest.is_empty() {
             let Some((field, after_equals)) = rest.split_once('=') else {
-                return fault(rest, "not of the form name=value");
+                return field_error(rest, "not of the form name=value");
             };
             if field.is_empty() || field.contains(' ') {
-                return fault(name, "contains a part that is not of the form name=value");
+                return field_error(name, "contains a part that is not of the form name=value");
             }
             if fields.iter().any(|(seen, _)| *seen == field) {
-                return fault(field, "given twice");
+                return field_error(field, "given twice");
             }
             let takes_rest_of_line = name == "UP" && field == "Info";
             let (value, next) = if takes_rest_of_line {
@@ -70,13 +70,13 @@
 
     /// Returns the value of a required field.
     fn text(&self, field: &str) -> Parsed<&'a str> {
-        self.get(field).map_or_else(|| fault(field, "missing"), Ok)
+        self.get(field).map_or_else(|| field_error(field, "missing"), Ok)
     }
 
     fn integer<T: TryFrom<u64>>(&self, field: &str) -> Parsed<T> {
         let text = self.text(field)?;
         let number = text.parse::<u64>().ok().and_then(|n| T::try_from(n).ok());
-        number.map_or_else(|| fault(field, "not a whole number in range"), Ok)
+        number.map_or_else(|| field_error(field, "not a whole number in range"), Ok)
     }
 
     /// Returns the value of an optional integer field, or 0 if it is absent.
@@ -89,7 +89,7 @@
         match self.get(field) {
             Some("1") => Ok(true),
             None | Some("0") => Ok(false),
-            Some(_) => fault(field, "must be 0 or 1"),
+            Some(_) => field_error(field, "must be 0 or 1"),
         }
     }
 
@@ -105,7 +105,7 @@
         let text = self.text("Call")?;
         text.as_bytes()
             .try_into()
-            .map_or_else(|_| fault("Call", "not an id of 36 bytes"), |bytes| Ok(RequestId(bytes)))
+            .map_or_else(|_| field_error("Call", "not an id of 36 bytes"), |bytes| Ok(RequestId(bytes)))
     }
 
     fn server(&self) -> Parsed<ServerId> {
@@ -120,7 +120,7 @@
         let mut report = Report::default();
         let values: Vec<&str> = text.split(',').collect();
         if values.len() != fields.len() {
-            return fault(
+            return field_error(
                 "Usage",
                 format!("holds {} values, but {} are expected", values.len(), fields.len()),
             );
@@ -151,7 +151,7 @@
             "70" => Outcome::Cancelled,
             "80" => Outcome::NotSent,
             "102" => Outcome::Read,
-            _ => return fault("Rc", "not a known outcome"),
+            _ => return field_error("Rc", "not a known outcome"),
         })
     }
 }
@@ -173,12 +173,12 @@
         let seed = message.integer("InitSeed")?;
         let info: Info = match serde_json::from_str(message.text("Info")?) {
             Ok(info) => info,
-            Err(error) => return fault("Info", error.to_string()),
+            Err(error) => return field_error("Info", error.to_string()),
         };
         let settings = info.settings()?;
         match Router::new(settings, seed, now) {
             Ok(router) => Ok(Instance { router, names: info.names() }),
-            Err(error) => fault("Info", error.to_string()),
+            Err(error) => field_error("Info", error.to_string()),
         }
     }
 
@@ -197,7 +197,7 @@
                 "0" => ServerState::Ready,
                 "2" => ServerState::Draining,
                 "3" => ServerState::Gone,
-                _ => return fault("Health", "must be 0, 2 or 3"),
+                _ => return field_error("Health", "must be 0, 2 or 3"),
             },
             weight: message.number("Share")?,
             started,
@@ -252,7 +252,7 @@
                 held: match message.text("Kind")? {
                     "1" => true,
                     "2" => false,
-                    _ => return fault("Kind", "must be 1 or 2"),
+                    _ => return field_error("Kind", "must be 1 or 2"),
                 },
             },
             "ABORTED" => Event::ClientGone(message.request()?),
@@ -267,7 +267,7 @@
                 from: message.integer("Src")?,
                 payload: decode_base64(message.text("Payload")?)?,
             },
-            name => return fault(name, "not a known message"),
+            name => return field_error(name, "not a known message"),
         })
     }
 }
@@ -276,7 +276,7 @@
 
 /// Decodes base64 with padding. An empty payload is written as `-`.
 fn decode_base64(text: &str) -> Parsed<Vec<u8>> {
-    let invalid = || fault("Payload", "not base64");
+    let invalid = || field_error("Payload", "not base64");
     if text == "-" {
         return Ok(Vec::new());
     }
@@ -385,9 +385,10 @@
         }
         match std::str::from_utf8(&self.line) {
             Ok(text) => Ok(Some(text)),
-            Err(_) => {
-                Err(error_at_line(self.number, Fault { field: "line".into(), problem: "not UTF-8".into() }))
-            }
+            Err(_) => Err(error_at_line(
+                self.number,
+                FieldError { field: "line".into(), problem: "not UTF-8".into() },
+            )),
         }
     }
 
@@ -397,13 +398,13 @@
         self.next_line()?.ok_or_else(|| {
             error_at_line(
                 number,
-                Fault { field: what.to_string(), problem: "missing, the input has ended".into() },
+                FieldError { field: what.to_string(), problem: "missing, the input has ended".into() },
             )
         })
     }
 }
 
-fn error_at_line(line: u64, fault: Fault) -> WireError {
+fn error_at_line(line: u64, fault: FieldError) -> WireError {
     WireError::Malformed { line, field: fault.field, problem: fault.problem }
 }
 
@@ -422,11 +423,11 @@
     /// Returns the selected instance and its number. Errors name the message `name`.
     fn instance(&mut self, name: &str) -> Parsed<(u64, &mut Instance)> {
         let Some(number) = self.selected else {
-            return fault(name, "no ABOUT precedes it in this batch");
+            return field_error(name, "no ABOUT precedes it in this batch");
         };
         match self.instances.get_mut(&number) {
             Some(instance) => Ok((number, instance)),
-            None => fault(name, format!("instance {number} has not been started")),
+            None => field_error(name, format!("instance {number} has not been started")),
         }
     }
 
@@ -442,7 +443,7 @@
             "ABOUT" => self.selected = Some(message.integer("Dispatcher")?),
             "UP" => {
                 let Some(number) = self.selected else {
-                    return fault("UP", "no ABOUT precedes it in this batch");
+                    return field_error("UP", "no ABOUT precedes it in this batch");
                 };
                 self.instances.insert(number, Instance::start(message, now)?);
             }
@@ -457,7 +458,7 @@
                     "1" => ListScope::Full,
                     "2" => ListScope::Cached,
                     "3" => ListScope::Failed,
-                    _ => return fault("Scope", "must be 0, 1, 2 or 3"),
+                    _ => return field_error("Scope", "must be 0, 1, 2 or 3"),
                 };
                 return Ok(Some((scope, message.integer_or_zero("NodesList")?)));
             }
@@ -483,7 +484,7 @@
             actions.drain(..).try_for_each(|action| write_action(output, &action))
         })();
         self.actions = actions;
-        written.or_else(|error| fault("reply", error.to_string()))
+        written.or_else(|error| field_error("reply", error.to_string()))
     }
 
     /// Handles the lines of a batch up to its `FLUSH`, and ends the reply with `READY`.
@@ -505,7 +506,7 @@
                 for _ in 0..count {
                     let entry = Message::parse(lines.expect_line("ITEM")?).and_then(|message| {
                         if message.name != "ITEM" {
-                            return fault(message.name, "ITEM expected");
+                            return field_error(message.name, "ITEM expected");
                         }
                         self.instance("ITEM")?.1.entry(&message)
                     });
@@ -529,12 +530,14 @@
     while let Some(line) = lines.next_line()? {
         let round_time = Message::parse(line).and_then(|message| match message.name {
             "ROUND" => message.micros("WallMs"),
-            name => fault(name, "ROUND expected"),
+            name => field_error(name, "ROUND expected"),
         });
         let now = round_time.map_err(|fault| error_at_line(lines.number, fault))?;
         if now < last_round {
-            let backwards =
-                Fault { field: "WallMs".into(), problem: "earlier than that of the previous ROUND".into() };
+            let backwards = FieldError {
+                field: "WallMs".into(),
+                problem: "earlier than that of the previous ROUND".into(),
+            };
             return Err(error_at_line(lines.number, backwards));
         }
         last_round = now;
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -17,7 +17,7 @@
 use tokio::task::{JoinHandle, JoinSet};
 
 use milletseam::documents::{Operator, Source};
-use milletseam::program::{Life, Phase, Setup};
+use milletseam::program::{Phase, Program, Setup};
 use milletseam::protocol::config::Config;
 
 /// Runs a story; one that hangs has failed.
@@ -425,11 +425,11 @@
     pub async fn start_with(config: Value, operator: &str) -> Self {
         let config = Config::parse(&config.to_string()).expect("a configuration");
         let setup = Setup { config, operator: parsed(operator), file: None, accept: None };
-        let life = Life::start(setup).await.expect("it starts");
-        let (front, rpc) = life.addresses().expect("addresses");
-        let admin = life.admin_address().expect("an address").map_or(String::new(), |at| at.to_string());
-        let mut phases = life.phases();
-        tokio::spawn(life.run());
+        let program = Program::start(setup).await.expect("it starts");
+        let (front, rpc) = program.addresses().expect("addresses");
+        let admin = program.admin_address().expect("an address").map_or(String::new(), |at| at.to_string());
+        let mut phases = program.phases();
+        tokio::spawn(program.run());
         phases.wait_for(|phase| *phase == Phase::Serving).await.expect("it serves");
         let rpc = rpc.map_or(String::new(), |rpc| rpc.to_string());
         Conductor { front: front.to_string(), rpc, admin }
