--- a/src/protocol/collectd.rs
+++ b/src/protocol/collectd.rs
@@ -1,10 +1,10 @@
-//! collectd's plain text protocol, as its plug-in unixsock speaks it.
+//! collectd's plain text protocol, as its unixsock plug-in implements it.
 
 use std::fmt::Write;
 
 use super::figures::{Metric, MetricKind};
 
-/// A PUTVAL command for each figure.
+/// Formats a PUTVAL command for each metric.
 pub fn putvals(host: &str, metrics: &[Metric], every_s: f64, unix_s: u64) -> String {
     metrics.iter().fold(String::new(), |mut text, Metric { name, value, kind }| {
         let kind = match kind {
@@ -18,7 +18,7 @@
     })
 }
 
-/// Whether the answer to one command says that it was carried out: its status is negative if not.
-pub fn accepted(answer: &str) -> bool {
-    answer.split_whitespace().next().and_then(|status| status.parse::<i64>().ok()).is_some_and(|n| n >= 0)
+/// Returns true if the response to a command reports success. The status of a failed command is negative.
+pub fn accepted(response: &str) -> bool {
+    response.split_whitespace().next().and_then(|status| status.parse::<i64>().ok()).is_some_and(|n| n >= 0)
 }
--- a/src/protocol/config.rs
+++ b/src/protocol/config.rs
@@ -6,55 +6,55 @@
 use super::platform::List;
 use super::settings::Info;
 
-/// What a conductor is told at its start.
+/// The configuration that a conductor reads at its start.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Config {
-    /// Its name.
+    /// The conductor's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: String,
-    /// Where discovery listens; empty where there is none.
+    /// The address of discovery; empty if there is none.
     #[serde(default)]
     pub discovery: String,
-    /// Seed for random numbers, in hexadecimal digits.
+    /// The seed of the random numbers, in hexadecimal digits.
     pub seed: String,
-    /// What the machine has.
+    /// The limits of the machine.
     pub limits: MachineLimits,
-    /// Where operators call; none where they don't.
+    /// The address that operators connect to, if there is one.
     #[serde(default)]
     pub admin: Option<String>,
-    /// The list of servers as it was known last; perhaps old.
+    /// The last known list of servers, which may be outdated.
     pub known: List,
-    /// The settings, with the simulator's names and units.
+    /// The settings, with the names and units of the simulator.
     pub settings: Info,
 }
 
-/// What the machine has.
+/// The limits of the machine.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct MachineLimits {
-    /// File descriptors.
+    /// How many file descriptors the conductor may use.
     pub sockets: usize,
 }
 
 /// Why a configuration is refused.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// It is not the JSON that is expected.
+    /// The text is no JSON, or lacks what the configuration needs.
     #[error("the configuration can't be read: {0}")]
     Json(#[from] serde_json::Error),
     /// The seed is not hexadecimal.
     #[error("the seed '{0}' is not a hexadecimal number")]
     Seed(String),
-    /// There are too few descriptors to serve anybody.
+    /// There are too few file descriptors to serve clients.
     #[error("{0} sockets are too few: at least {MIN_SOCKETS} are needed")]
     Sockets(usize),
 }
 
-/// With fewer descriptors than this, fronts and peers can't both be served.
+/// The smallest number of file descriptors that suffices for both fronts and peers.
 pub const MIN_SOCKETS: usize = 64;
 
 impl Config {
-    /// Reads a configuration.
+    /// Parses a configuration.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let config: Config = serde_json::from_str(text)?;
         if config.limits.sockets < MIN_SOCKETS {
@@ -63,7 +63,7 @@
         Ok(config)
     }
 
-    /// The seed as a number.
+    /// Returns the seed as a number.
     pub fn seed(&self) -> Result<u64, ConfigError> {
         u64::from_str_radix(&self.seed, 16).map_err(|_| ConfigError::Seed(self.seed.clone()))
     }
--- a/src/protocol/figures.rs
+++ b/src/protocol/figures.rs
@@ -1,40 +1,40 @@
-//! Figures by name, and the form in which operators read them: a line `app.NAME:VALUE|KIND` for each.
+//! Metrics by name, and the text form that operators read: a line `app.NAME:VALUE|KIND` for each.
 
 use std::fmt::Write;
 
-/// How a figure moves.
+/// How a metric changes over time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MetricKind {
-    /// It only grows, from the start of the process.
+    /// It only grows, and starts at 0 with the process.
     Counter,
-    /// It is a level.
+    /// It is a current level, which rises and falls.
     Gauge,
 }
 
-/// One figure.
+/// One metric with its current value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Metric {
-    /// Its name, with points between its parts.
+    /// Its name, whose parts are separated by points.
     pub name: String,
     /// Its value.
     pub value: u64,
-    /// How it moves.
+    /// How it changes over time.
     pub kind: MetricKind,
 }
 
 impl Metric {
-    /// A counter.
+    /// Creates a counter.
     pub fn counter(name: impl Into<String>, value: u64) -> Self {
         Metric { name: name.into(), value, kind: MetricKind::Counter }
     }
 
-    /// A level.
+    /// Creates a gauge.
     pub fn gauge(name: impl Into<String>, value: u64) -> Self {
         Metric { name: name.into(), value, kind: MetricKind::Gauge }
     }
 }
 
-/// The lines for operators.
+/// Formats the metrics for operators, one per line.
 pub fn lines(metrics: &[Metric]) -> String {
     metrics.iter().fold(String::new(), |mut text, Metric { name, value, kind }| {
         let kind = match kind {
@@ -47,7 +47,7 @@
     })
 }
 
-/// The same in one line, as it is printed on request and at the exit.
+/// Formats the metrics as a single line, which the program prints on request and when it exits.
 pub fn line(metrics: &[Metric]) -> String {
     let parts = metrics.iter().map(|Metric { name, value, .. }| format!("{name} {value}"));
     parts.collect::<Vec<_>>().join(", ")
--- a/src/protocol/framing/tests.rs
+++ b/src/protocol/framing/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
 #[test]
-fn a_head_that_can_be_taken_in_two_ways_is_bad() {
+fn head_with_ambiguous_body_length_is_malformed() {
     let read = |headers: &str| framing(format!("POST /v1/x HTTP/1.1\r\n{headers}\r\nrest").as_bytes());
     assert_eq!(read(""), Framing::Sized(23, 0));
     assert_eq!(read("Content-Length: 4\r\ncontent-length: 4\r\n"), Framing::Sized(61, 4));
     assert_eq!(read("Transfer-Encoding: chunked\r\n"), Framing::Chunked(51));
-    for bad in [
+    for headers in [
         "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n",
         "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
         "Content-Length: 4\r\nContent-Length: 5\r\n",
@@ -16,7 +16,7 @@
         "Content-Length: 99999999999999999999\r\n",
         "No colon\r\n",
     ] {
-        assert_eq!(read(bad), Framing::Malformed, "{bad}");
+        assert_eq!(read(headers), Framing::Malformed, "{headers}");
     }
     assert_eq!(framing(b"POST /v1/x HTTP/1.1\r\nX-Fa"), Framing::Partial);
     assert_eq!(
--- a/src/protocol/graphite.rs
+++ b/src/protocol/graphite.rs
@@ -4,7 +4,7 @@
 
 use super::figures::Metric;
 
-/// The lines for figures.
+/// Formats the metrics, one per line.
 pub fn lines(prefix: &str, metrics: &[Metric], unix_s: u64) -> String {
     metrics.iter().fold(String::new(), |mut text, Metric { name, value, .. }| {
         // Writing to a String can't fail.
--- a/src/protocol/jsonrpc.rs
+++ b/src/protocol/jsonrpc.rs
@@ -8,52 +8,53 @@
 
 /// The method that calls a tool.
 pub const CALL: &str = "tools/call";
-/// The notification by which a client calls off one of its calls.
+/// The notification by which a client cancels one of its calls.
 pub const CANCELLED: &str = "notifications/cancelled";
-/// The notification that tells a client what a tool answered that its server has called.
+/// The notification that passes the result of a nested call to the client: of a tool that the server called while it
+/// handled the client's call.
 pub const TOOL_RESULT: &str = "notifications/tool_result";
 /// The most messages in a batch.
 pub const MAX_BATCH: usize = 32;
-/// The largest event that is read from a server.
-const MOST_EVENT: usize = 1024 * 1024;
+/// The largest server-sent event that is accepted from a server, in bytes.
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// An error as JSON-RPC knows it. Codes from -32001 on are this front's own.
+/// A JSON-RPC error. The codes from -32001 to -32005 are defined by this project.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum RpcError {
-    /// -32700: the text is no JSON.
+    /// -32700: the text is not valid JSON.
     #[error("parse error")]
     Parse,
-    /// -32600: the JSON is no request.
+    /// -32600: the JSON is not a valid request.
     #[error("invalid request: {0}")]
     Invalid(&'static str),
-    /// -32601: there is no such method.
+    /// -32601: the method does not exist.
     #[error("method not found")]
     Method,
-    /// -32602: there is no such tool, or its arguments are no object.
+    /// -32602: the tool does not exist, or its arguments are not an object.
     #[error("invalid params: {0}")]
     Params(&'static str),
-    /// -32001: refused; trying again is harmless, after the time in `data`.
+    /// -32001: the call was refused and may safely be retried, after the time in `data`.
     #[error("refused")]
     Refused(Option<Micros>),
-    /// -32002: there was no answer in time, and the call has not taken effect or may be repeated.
+    /// -32002: there was no answer by the deadline; the call has not taken effect or may be repeated.
     #[error("deadline exceeded")]
     Deadline,
-    /// -32003: failed, and the call has not taken effect or may be repeated.
+    /// -32003: the call failed; it has not taken effect or may be repeated.
     #[error("failed")]
     Failed,
-    /// -32004: the call may have taken effect and must not be repeated blindly.
+    /// -32004: the call failed but may have taken effect, and must not be repeated blindly.
     #[error("failed, and may have run")]
     MayHaveRun,
-    /// -32005: called off by its client.
+    /// -32005: the client cancelled the call.
     #[error("cancelled")]
     Cancelled,
-    /// A tool server's own error, passed on as it is.
+    /// An error of the tool server, passed on unchanged.
     #[error("the tool answered with an error")]
     Tool(Value),
 }
 
 impl RpcError {
-    /// The code.
+    /// Returns the error code. For a tool server's error without one this is the code of `Failed`.
     pub fn code(&self) -> i64 {
         match self {
             RpcError::Parse => -32700,
@@ -69,6 +70,7 @@
         }
     }
 
+    /// Returns the error object of a response.
     fn object(&self) -> Value {
         if let RpcError::Tool(error) = self {
             return error.clone();
@@ -81,7 +83,7 @@
     }
 }
 
-/// The response to a call.
+/// Builds the response to a call.
 pub fn response(id: &Value, result: &Result<Value, RpcError>) -> Value {
     match result {
         Ok(result) => json!({"jsonrpc": "2.0", "id": id, "result": result}),
@@ -89,52 +91,53 @@
     }
 }
 
-/// A call of a tool.
+/// Builds the request that calls a tool.
 pub fn call(id: &str, params: &Value) -> Value {
     json!({"jsonrpc": "2.0", "id": id, "method": CALL, "params": params})
 }
 
-/// A notification, passed on.
+/// Builds a notification.
 pub fn notification(method: &str, params: &Value) -> Value {
     json!({"jsonrpc": "2.0", "method": method, "params": params})
 }
 
-/// Tells a client what a tool answered that the server of its call `id` has called as `raised`.
-pub fn tool_result(id: &Value, raised: &Value, result: &Result<Value, RpcError>) -> Value {
-    json!({"jsonrpc": "2.0", "method": TOOL_RESULT, "params": {"call": id, "response": response(raised, result)}})
+/// Builds the notification of a nested call's result: the server that handled the client's call `id` has itself
+/// called a tool, under the id `nested_id`.
+pub fn tool_result(id: &Value, nested_id: &Value, result: &Result<Value, RpcError>) -> Value {
+    json!({"jsonrpc": "2.0", "method": TOOL_RESULT, "params": {"call": id, "response": response(nested_id, result)}})
 }
 
-/// One message.
+/// A JSON-RPC message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// A request, or without an id a notification.
+    /// A request; without an id it is a notification.
     Request {
-        /// Its id.
+        /// The id.
         id: Option<Value>,
-        /// Its method.
+        /// The method.
         method: String,
-        /// Its params, null if there are none.
+        /// The parameters; null if there are none.
         params: Value,
     },
     /// A response.
     Response {
-        /// The id of its request.
+        /// The id of the request.
         id: Value,
-        /// What it brings.
+        /// The result, or the error.
         result: Result<Value, RpcError>,
     },
 }
 
-/// What a POST holds.
+/// The content of a POST.
 #[derive(Debug, PartialEq)]
 pub enum Post {
-    /// A message by itself; a fault comes with the id that it belongs to, where there is one.
+    /// A single message. An error carries the id of the faulty message, or null if it has none.
     Single(Result<Message, (Value, RpcError)>),
-    /// A batch.
+    /// A batch of messages.
     Batch(Vec<Result<Message, (Value, RpcError)>>),
 }
 
-/// Reads the body of a POST.
+/// Parses the body of a POST.
 pub fn parse(body: &[u8]) -> Result<Post, RpcError> {
     match serde_json::from_slice(body).map_err(|_| RpcError::Parse)? {
         Value::Array(batch) if batch.is_empty() => Err(RpcError::Invalid("an empty batch")),
@@ -144,7 +147,7 @@
     }
 }
 
-/// Reads one message.
+/// Parses one message.
 pub fn message(value: Value) -> Result<Message, (Value, RpcError)> {
     let Value::Object(mut fields) = value else {
         return Err((Value::Null, RpcError::Invalid("not an object")));
@@ -153,21 +156,21 @@
         id @ (None | Some(Value::String(_) | Value::Number(_))) => id,
         Some(_) => return Err((Value::Null, RpcError::Invalid("the id is no string and no number"))),
     };
-    let known = id.clone().unwrap_or(Value::Null);
+    let error_id = id.clone().unwrap_or(Value::Null);
     if fields.get("jsonrpc").and_then(Value::as_str) != Some("2.0") {
-        return Err((known, RpcError::Invalid("not JSON-RPC 2.0")));
+        return Err((error_id, RpcError::Invalid("not JSON-RPC 2.0")));
     }
     match (fields.remove("method"), id) {
         (Some(Value::String(method)), id) => {
             let params = fields.remove("params").unwrap_or(Value::Null);
             Ok(Message::Request { id, method, params })
         }
-        (None, Some(id)) => answer(fields, id),
-        _ => Err((known, RpcError::Invalid("no method"))),
+        (None, Some(id)) => parse_response(fields, id),
+        _ => Err((error_id, RpcError::Invalid("no method"))),
     }
 }
 
-fn answer(mut fields: Map<String, Value>, id: Value) -> Result<Message, (Value, RpcError)> {
+fn parse_response(mut fields: Map<String, Value>, id: Value) -> Result<Message, (Value, RpcError)> {
     match (fields.remove("result"), fields.remove("error")) {
         (Some(result), None) => Ok(Message::Response { id, result: Ok(result) }),
         (None, Some(error)) if error.is_object() => {
@@ -184,7 +187,7 @@
     arguments: Value,
 }
 
-/// The tool that a call names.
+/// Returns the name of the tool that a call's parameters give.
 pub fn tool(params: &Value) -> Result<String, RpcError> {
     let call = CallParams::deserialize(params).map_err(|_| RpcError::Params("no tool is named"))?;
     match call.arguments {
@@ -193,31 +196,33 @@
     }
 }
 
-/// The id of the call that a notification calls off.
+/// Returns the id of the call that a cancellation refers to.
 pub fn cancelled(params: &Value) -> Option<&Value> {
     params.get("requestId")
 }
 
-/// A message as a server-sent event.
+/// Formats a message as a server-sent event.
 pub fn event(message: &Value) -> String {
     format!("data: {message}\n\n")
 }
 
-/// Reads server-sent events from the bytes of a stream.
+/// Parses server-sent events from the bytes of a stream.
 #[derive(Default)]
 pub struct Events {
+    /// The current line so far.
     line: Vec<u8>,
+    /// The data of the current event so far.
     data: String,
 }
 
 impl Events {
-    /// Takes the next bytes and gives the data of the events that they complete; none if the stream is none
-    /// of events, or holds one that is too large.
+    /// Parses the next bytes and returns the data of the events that they complete. Returns `None` if the stream is
+    /// not UTF-8 or an event is too large.
     pub fn feed(&mut self, bytes: &[u8]) -> Option<Vec<String>> {
         let mut events = Vec::new();
         for part in bytes.split_inclusive(|b| *b == b'\n') {
             self.line.extend_from_slice(part);
-            if self.line.len() + self.data.len() > MOST_EVENT {
+            if self.line.len() + self.data.len() > MAX_EVENT_BYTES {
                 return None;
             }
             if part.ends_with(b"\n") {
--- a/src/protocol/jsonrpc/tests.rs
+++ b/src/protocol/jsonrpc/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn faults_have_the_codes_of_the_standard() {
+fn errors_have_standard_codes() {
     let code = |text: &str| match parse(text.as_bytes()) {
         Err(error) | Ok(Post::Single(Err((_, error)))) => error.code(),
         other => panic!("{other:?}"),
@@ -19,12 +19,12 @@
 }
 
 #[test]
-fn events_are_put_together_across_parts() {
+fn events_split_across_reads_are_assembled() {
     let mut events = Events::default();
     assert_eq!(events.feed(b": note\ndata: {\"a\""), Some(vec![]));
     assert_eq!(
         events.feed(b":1}\r\n\r\ndata: x\ndata: y\n\n"),
         Some(vec!["{\"a\":1}".into(), "x\ny".into()])
     );
-    assert_eq!(events.feed(&vec![b'z'; MOST_EVENT + 1]), None);
+    assert_eq!(events.feed(&vec![b'z'; MAX_EVENT_BYTES + 1]), None);
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! Reading and writing of each protocol, as pure functions: no sockets, no clock, no decisions.
+//! Parsers and formatters of each protocol. They do no I/O, read no clock and make no decisions.
 
 pub mod collectd;
 pub mod config;
--- a/src/protocol/platform.rs
+++ b/src/protocol/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's protocol: headers of a request, the list of servers, load reports and the events that
-//! an answer ends with.
+//! The platform's protocol: request headers, the list of servers, load reports, and the last events of an answer's
+//! stream, which carry the usage and a load report.
 
 use bytes::{Bytes, BytesMut};
 use http::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
@@ -10,36 +10,36 @@
 use super::settings::{Names, ReportField, digest, index};
 use crate::interface::*;
 
-/// The most that a body may hold.
+/// The largest body of a request, in bytes.
 pub const MAX_BODY_BYTES: usize = 256 * 1024;
-/// Header that names a request.
+/// Header with the id of a request.
 pub const ID: &str = "x-correlation-id";
-/// Header that tells how long the sender will wait.
+/// Header with the time for which the sender waits, in milliseconds.
 pub const TIME_LEFT: &str = "x-time-left-ms";
-/// Header that proves that a request did not run.
+/// Header that proves that a request was not processed.
 pub const UNPROCESSED: &str = "x-unprocessed";
-/// Header with a load report, and the name of the comment with it at a stream's end.
+/// Header with a load report. A comment of the same name carries the report at the end of a stream.
 pub const LOAD: &str = "x-backend-load";
 
-/// Why a request is answered 400.
+/// Why a request is answered with status 400.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum BadRequest {
-    /// A header that has to be there is not.
+    /// A required header is missing or empty.
     #[error("the header {0} is missing")]
     Missing(&'static str),
-    /// A header does not hold what it should.
+    /// The value of a header is invalid.
     #[error("the header {0} can't be read")]
     Malformed(&'static str),
 }
 
-/// What the headers of a request say.
+/// The content of a request's headers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Heading {
     /// The id, as the client wrote it.
     pub id: String,
-    /// The request as the decisions take it, without id and expiry.
+    /// The request in the form of the decision module, without id and expiry.
     pub request: Request,
-    /// How long the client waits.
+    /// How long the client waits, in microseconds.
     pub time_left: Micros,
 }
 
@@ -47,59 +47,61 @@
     headers.get(name).map(|v| v.to_str().map_err(|_| BadRequest::Malformed(name))).transpose()
 }
 
-fn whole(text: &str, name: &'static str) -> Result<u64, BadRequest> {
+fn parse_integer(text: &str, name: &'static str) -> Result<u64, BadRequest> {
     text.trim().parse().map_err(|_| BadRequest::Malformed(name))
 }
 
-/// Reads a request's headers.
+/// Parses the headers of a request.
 pub fn heading(headers: &HeaderMap, names: &Names) -> Result<Heading, BadRequest> {
-    let need = |name| text(headers, name)?.filter(|t| !t.is_empty()).ok_or(BadRequest::Missing(name));
-    let id = need(ID)?;
+    let required = |name| text(headers, name)?.filter(|t| !t.is_empty()).ok_or(BadRequest::Missing(name));
+    let id = required(ID)?;
     if id.len() > 128 || !id.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b)) {
         return Err(BadRequest::Malformed(ID));
     }
-    let class = index("class", &names.classes, need("x-service-class")?)
+    let class = index("class", &names.classes, required("x-service-class")?)
         .map_err(|_| BadRequest::Malformed("x-service-class"))?;
-    let time_left = whole(need(TIME_LEFT)?, TIME_LEFT)?;
+    let time_left = parse_integer(required(TIME_LEFT)?, TIME_LEFT)?;
     let mut request = Request { class: ClassId(class), ..Request::plain() };
     request.session = text(headers, "x-session-key")?.map(|key| SessionKey(digest(key)));
     if let Some(name) = text(headers, "x-account")? {
         let tenant = index("tenant", &names.tenants, name).map_err(|_| BadRequest::Malformed("x-account"))?;
         request.tenant = Some(TenantId(tenant));
     }
-    request.hint = text(headers, "x-weight-hint")?.map(|hint| whole(hint, "x-weight-hint")).transpose()?;
-    // "again" is a client that comes for the rest of a stream: no repeat of a try.
+    request.hint =
+        text(headers, "x-weight-hint")?.map(|hint| parse_integer(hint, "x-weight-hint")).transpose()?;
+    // The value "again" marks a client that asks for the rest of a stream, which is not a resent request.
     request.resent = text(headers, "x-repeat")? == Some("1");
-    facts(need("x-facts")?, &mut request)?;
+    parse_facts(required("x-facts")?, &mut request)?;
     Ok(Heading { id: id.to_string(), request, time_left: time_left.saturating_mul(1000) })
 }
 
-fn facts(text: &str, request: &mut Request) -> Result<(), BadRequest> {
+/// Parses the `x-facts` header, whose form is `name=value, name=value`, into the request.
+fn parse_facts(text: &str, request: &mut Request) -> Result<(), BadRequest> {
     const NAME: &str = "x-facts";
-    let mut prompt = None;
+    let mut prompt_tokens = None;
     for fact in text.split(',') {
         let (name, value) = fact.trim().split_once('=').ok_or(BadRequest::Malformed(NAME))?;
         match name {
             "prefix" => request.prefix = Some(PrefixKey(digest(value))),
-            "prompt_len" => prompt = Some(whole(value, NAME)?),
-            "prefix_len" => request.prefix_tokens = whole(value, NAME)?,
-            "max_out" => request.max_tokens = whole(value, NAME)?,
+            "prompt_len" => prompt_tokens = Some(parse_integer(value, NAME)?),
+            "prefix_len" => request.prefix_tokens = parse_integer(value, NAME)?,
+            "max_out" => request.max_tokens = parse_integer(value, NAME)?,
             _ => {}
         }
     }
-    // Lengths beyond this are no prompts; the bound keeps sums of them in range.
-    const MOST_TOKENS: u64 = 1 << 40;
-    request.prompt_tokens = prompt.ok_or(BadRequest::Malformed(NAME))?;
-    if request.prompt_tokens.max(request.max_tokens).max(request.prefix_tokens) > MOST_TOKENS {
+    // No prompt is longer than this; the bound keeps sums of lengths from overflowing.
+    const MAX_TOKENS: u64 = 1 << 40;
+    request.prompt_tokens = prompt_tokens.ok_or(BadRequest::Malformed(NAME))?;
+    if request.prompt_tokens.max(request.max_tokens).max(request.prefix_tokens) > MAX_TOKENS {
         return Err(BadRequest::Malformed(NAME));
     }
     Ok(())
 }
 
-/// How an answer that is no stream ends an attempt.
+/// Returns the outcome of an attempt whose answer is not a stream.
 pub fn outcome(status: StatusCode, headers: &HeaderMap) -> Outcome {
-    let mut proofs = headers.get_all(UNPROCESSED).iter().peekable();
-    let unprocessed = proofs.peek().is_some() && proofs.all(|proof| proof == "1");
+    let mut marks = headers.get_all(UNPROCESSED).iter().peekable();
+    let unprocessed = marks.peek().is_some() && marks.all(|mark| mark == "1");
     match (status.as_u16(), unprocessed) {
         (202, _) => Outcome::Read,
         (410, true) => Outcome::NoState,
@@ -108,7 +110,8 @@
     }
 }
 
-/// Whether an answer's body tells its own end: where only its connection's end does, a part looks like the whole.
+/// Returns true if the headers delimit an answer's body. A body that ends only with its connection looks complete
+/// even if it was cut off.
 pub fn is_self_delimiting(headers: &HeaderMap) -> bool {
     headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
@@ -119,58 +122,60 @@
     cached_tokens: u64,
 }
 
-/// The tokens that a reader found kept, by its answer's body.
+/// Returns how many prompt tokens a reader found in its cache, according to the body of its answer.
 pub fn kept_tokens(body: &[u8]) -> u64 {
     serde_json::from_slice::<ReadReply>(body).map_or(0, |reply| reply.cached_tokens)
 }
 
-/// The largest value of a report, in thousands of tokens or in requests: that many would wait for hours.
-const MOST_REPORTED: f64 = 1e5;
+/// The largest plausible value of a load report, in thousands of tokens or in requests: a queue that long takes
+/// hours.
+const MAX_REPORTED: f64 = 1e5;
 
-/// Reads a load report such as `TEXT inflight=7, queue=2, util=0.61`; unknown fields, and values that no server can
-/// mean, are passed over.
+/// Parses a load report such as `TEXT inflight=7, queue=2, util=0.61`. Unknown fields and implausible values are
+/// ignored. Returns `None` if there is no plausible value at all.
 pub fn report(text: &str, fields: &[ReportField]) -> Option<Report> {
     let text = text.trim();
     let text = text.strip_prefix("TEXT").unwrap_or(text);
     let mut report = Report::default();
-    let mut any = false;
+    let mut has_values = false;
     for part in text.split(',') {
         let Some((name, value)) = part.trim().split_once('=') else { continue };
-        let Some(value) = value.trim().parse::<f64>().ok().filter(|v| (0.0..=MOST_REPORTED).contains(v))
+        let Some(value) = value.trim().parse::<f64>().ok().filter(|v| (0.0..=MAX_REPORTED).contains(v))
         else {
             continue;
         };
-        any = true;
-        let named = |field| fields.contains(&field);
+        has_values = true;
+        let is_listed = |field| fields.contains(&field);
         match name.trim() {
-            "latency_ms" | "mean_ms" if named(ReportField::Latency) => {
+            "latency_ms" | "mean_ms" if is_listed(ReportField::Latency) => {
                 report.latency = Some((value * 1000.0) as Micros);
             }
-            "x0" if named(ReportField::MemoryShare) => report.memory_share = Some(value),
-            "x1" if named(ReportField::WaitingThousands) => report.waiting_tokens = Some(value * 1000.0),
-            "queue" | "depth" if named(ReportField::Waiting) => report.waiting = Some(value),
+            "x0" if is_listed(ReportField::MemoryShare) => report.memory_share = Some(value),
+            "x1" if is_listed(ReportField::WaitingThousands) => report.waiting_tokens = Some(value * 1000.0),
+            "queue" | "depth" if is_listed(ReportField::Waiting) => report.waiting = Some(value),
             _ => {}
         }
     }
-    any.then_some(report)
+    has_values.then_some(report)
 }
 
-/// Bytes that are no stream of events, though they came as one.
+/// An answer that is declared as a stream of server-sent events but contains something else.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the stream is spoilt")]
+#[error("the stream contains bytes that are not server-sent events")]
 pub struct MalformedStream;
 
-/// Watches a stream of events go by for what its end tells, and for what does not belong into it: a chunk
-/// whose size is wrong brings another's frame in its midst, or goes on for ever.
+/// Inspects a stream of server-sent events as it is relayed: collects the usage and the load report at its end, and
+/// detects bytes that are not part of an event. A chunk that is declared with a wrong size contains the frame of the
+/// next chunk, or never ends.
 #[derive(Default)]
 pub struct StreamInspector {
-    /// The event that has not ended yet.
-    held: BytesMut,
-    /// Data lines so far: comments are no events.
+    /// The event that is not complete yet.
+    partial_event: BytesMut,
+    /// The number of data lines so far. Comments don't count as events.
     pub events: u64,
-    /// Prompt tokens found kept.
+    /// Prompt tokens that were found in the cache.
     pub kept_tokens: u64,
-    /// The load report's text.
+    /// The text of the load report.
     pub load: Option<String>,
 }
 
@@ -185,39 +190,40 @@
 }
 
 impl StreamInspector {
-    /// The longest event: what goes on beyond it is none.
-    const MOST_EVENT: usize = 256 * 1024;
+    /// The longest event in bytes. A longer one makes the stream malformed.
+    const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-    /// Takes the next bytes; gives all events that are whole now, unchanged.
+    /// Takes the next bytes and returns all events that are now complete, unchanged.
     pub fn feed(&mut self, bytes: Bytes) -> Result<Bytes, MalformedStream> {
-        // Events have none: it is the frame of a chunk that another has swallowed, perhaps the last one.
+        // The platform's events contain no carriage return. One here belongs to the frame of a chunk, perhaps the
+        // last, that lies within a chunk whose declared size is too large.
         if bytes.contains(&b'\r') {
             return Err(MalformedStream);
         }
-        let all = if self.held.is_empty() {
+        let buffered = if self.partial_event.is_empty() {
             bytes
         } else {
-            self.held.extend_from_slice(&bytes);
-            self.held.split().freeze()
+            self.partial_event.extend_from_slice(&bytes);
+            self.partial_event.split().freeze()
         };
-        let whole = all.windows(2).rposition(|pair| pair == b"\n\n").map_or(0, |at| at + 2);
-        self.held.extend_from_slice(&all[whole..]);
-        if self.held.len() > Self::MOST_EVENT {
+        let complete = buffered.windows(2).rposition(|pair| pair == b"\n\n").map_or(0, |start| start + 2);
+        self.partial_event.extend_from_slice(&buffered[complete..]);
+        if self.partial_event.len() > Self::MAX_EVENT_BYTES {
             return Err(MalformedStream);
         }
-        let whole = all.slice(..whole);
-        whole.split(|byte| *byte == b'\n').try_for_each(|line| self.line(line))?;
-        Ok(whole)
+        let complete = buffered.slice(..complete);
+        complete.split(|byte| *byte == b'\n').try_for_each(|line| self.inspect_line(line))?;
+        Ok(complete)
     }
 
-    /// What is left when the stream has ended whole.
+    /// Returns the bytes that are left when the stream has ended regularly.
     pub fn finish(&mut self) -> Result<Bytes, MalformedStream> {
-        let rest = self.held.split().freeze();
-        rest.split(|byte| *byte == b'\n').try_for_each(|line| self.line(line))?;
+        let rest = self.partial_event.split().freeze();
+        rest.split(|byte| *byte == b'\n').try_for_each(|line| self.inspect_line(line))?;
         Ok(rest)
     }
 
-    fn line(&mut self, line: &[u8]) -> Result<(), MalformedStream> {
+    fn inspect_line(&mut self, line: &[u8]) -> Result<(), MalformedStream> {
         const FIELDS: [&str; 4] = ["data", "event", "id", "retry"];
         let line = std::str::from_utf8(line).map_err(|_| MalformedStream)?;
         let Some((name, value)) = line.split_once(':') else {
@@ -241,18 +247,19 @@
     }
 }
 
-/// An answer of discovery.
+/// A response of discovery.
 #[derive(Clone, Debug, Deserialize)]
 pub struct List {
-    /// The list's version.
+    /// The revision of the list.
     pub revision: u64,
-    /// The whole list, or only what changed.
+    /// True if this is the complete list, false if it holds only the changes.
     pub complete: bool,
-    /// The entries.
+    /// The servers on the list.
     pub members: Vec<Member>,
 }
 
-/// The number of the server with this id. Every conductor finds the same, as the decisions lay homes out by it.
+/// Returns the number of the server with this id. It is the same at every conductor, as the decision module derives
+/// each prefix's preferred servers from it.
 pub fn server_number(id: &str) -> ServerId {
     let digest = digest(id);
     ServerId((digest ^ (digest >> 32)) as u32)
@@ -261,9 +268,9 @@
 /// One server on the list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Member {
-    /// Its name, the same at every conductor.
+    /// The server's name, the same at every conductor.
     pub id: String,
-    /// Where it listens.
+    /// The address that the server listens on.
     pub host_port: String,
     locality: String,
     flavor: String,
@@ -282,13 +289,13 @@
 }
 
 impl Member {
-    /// The server's number.
+    /// Returns the server's number.
     pub fn server(&self) -> ServerId {
         server_number(&self.id)
     }
 
-    /// The entry as the decisions take it; none if it names what the settings don't know. `started` maps
-    /// Unix time in milliseconds to the event clock.
+    /// Returns the entry in the form of the decision module, or `None` if it has a zone or kind that the settings
+    /// don't list. `started` maps Unix time in milliseconds to the event clock.
     pub fn entry(&self, names: &Names, started: impl Fn(f64) -> Option<Micros>) -> Option<ServerEntry> {
         Some(ServerEntry {
             id: self.server(),
--- a/src/protocol/platform/tests.rs
+++ b/src/protocol/platform/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn reports_are_read_by_the_fields_of_the_settings() {
+fn only_fields_listed_in_the_settings_are_reported() {
     let fields = [ReportField::Unused, ReportField::MemoryShare];
     let read = report("TEXT util=0.61, queue=2, x0=0.25, x1=9", &fields).expect("a report");
     assert_eq!(read, Report { memory_share: Some(0.25), ..Report::default() });
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn the_tail_of_a_stream_tells_kept_tokens_and_load_across_parts() {
+fn cached_tokens_and_load_are_found_in_a_stream_split_across_reads() {
     let mut inspector = StreamInspector::default();
     let text = concat!(
         "data: {\"choices\":[{\"delta\":{\"content\":\"x\"}}]}\n\n",
@@ -22,16 +22,16 @@
     );
     let mut passed = Vec::new();
     for part in text.as_bytes().chunks(7) {
-        let whole = inspector.feed(Bytes::copy_from_slice(part)).expect("events");
-        assert!(whole.is_empty() || whole.ends_with(b"\n\n"), "{whole:?}");
-        passed.extend_from_slice(&whole);
+        let complete = inspector.feed(Bytes::copy_from_slice(part)).expect("events");
+        assert!(complete.is_empty() || complete.ends_with(b"\n\n"), "{complete:?}");
+        passed.extend_from_slice(&complete);
     }
     assert_eq!((passed.as_slice(), inspector.finish()), (text.as_bytes(), Ok(Bytes::new())));
     assert_eq!((inspector.kept_tokens, inspector.load.as_deref()), (4096, Some("TEXT x0=0.5")));
 }
 
 #[test]
-fn what_is_no_event_spoils_a_stream() {
+fn stream_with_bytes_outside_events_is_malformed() {
     let feed = |text: &str| StreamInspector::default().feed(Bytes::from(text.to_string()));
     assert_eq!(feed("data: 1\n\n2a\r\ndata: 2\n\n"), Err(MalformedStream));
     assert_eq!(
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn only_an_unprocessed_mark_proves_that_a_request_was_turned_away() {
+fn only_the_unprocessed_header_proves_that_a_request_did_not_run() {
     let marked = HeaderMap::from_iter([(UNPROCESSED.parse().expect("a name"), http::HeaderValue::from(1))]);
     let plain = HeaderMap::new();
     let read =
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -1,33 +1,34 @@
-//! The settings object that an instance is told at its start, as JSON with the simulator's names and units.
-//! The simulator's wire and the configuration files of the conductor share this one reader of it.
+//! The settings object that an instance receives at its start, as JSON with the simulator's names and units. The
+//! simulator's line protocol and the conductor's configuration file share this parser.
 
 use serde::Deserialize;
 use thiserror::Error;
 
 use crate::interface::*;
 
-/// The platform's slack on the time left that an attempt tells, in microseconds; the settings don't hold it.
+/// The platform's slack on the time left that an attempt sends along, in microseconds. It is not part of the
+/// settings.
 const TIME_LEFT_SLACK: Micros = 150_000;
 
-/// What is wrong with a field.
+/// An invalid field of the settings or of a message.
 #[derive(Clone, Debug, PartialEq, Error)]
 #[error("{field}: {problem}")]
 pub struct FieldError {
-    /// The field, or the message where no field is to blame.
+    /// The field, or the message if no single field is invalid.
     pub field: String,
-    /// What is wrong.
+    /// What is wrong with it.
     pub problem: String,
 }
 
-/// A value, or the field that keeps it from being read.
+/// A parsed value, or the field that is invalid.
 pub type Parsed<T> = Result<T, FieldError>;
 
-/// Blames a field.
+/// Returns an error for a field.
 pub fn field_error<T>(field: &str, problem: impl Into<String>) -> Parsed<T> {
     Err(FieldError { field: field.to_string(), problem: problem.into() })
 }
 
-/// A finite number.
+/// Parses a finite number.
 pub fn number(field: &str, text: &str) -> Parsed<f64> {
     match text.parse::<f64>() {
         Ok(value) if value.is_finite() => Ok(value),
@@ -35,42 +36,42 @@
     }
 }
 
-/// Milliseconds, perhaps fractional, as whole microseconds.
+/// Converts milliseconds, which may be fractional, to whole microseconds.
 pub fn micros(field: &str, ms: f64) -> Parsed<Micros> {
     let us = (ms * 1000.0).round();
     if (0.0..9.0e18).contains(&us) { Ok(us as Micros) } else { field_error(field, "not a time in range") }
 }
 
-/// A digest that is the same in every process (FNV-1a).
+/// Returns a digest that is the same in every process (FNV-1a).
 pub fn digest(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// What a value of a load report stands for.
+/// The meaning of a value in a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
     /// Recent service time, in milliseconds.
     Latency,
-    /// Share of the memory that is held.
+    /// Share of the memory that is in use.
     MemoryShare,
-    /// Thousands of prompt tokens that wait.
+    /// Waiting prompt tokens, in thousands.
     WaitingThousands,
     /// Requests in the queue.
     Waiting,
-    /// Nothing that the decisions use.
+    /// A value that the decision module does not use.
     Unused,
 }
 
-/// What the settings say of connections; the decisions have no use for it.
+/// The settings of connections to servers. The decision module does not use them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Links {
-    /// A server closes a connection that is idle for this long.
+    /// The time after which a server closes an idle connection.
     pub idle: Micros,
-    /// A connection that is not up by then has failed.
+    /// The time within which a connection has to be established.
     pub connect: Micros,
 }
 
-/// The names of one instance's settings, by which its events are mapped.
+/// The names in an instance's settings, by which the names in its events are resolved.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     /// Request classes.
@@ -81,11 +82,11 @@
     pub zones: Vec<String>,
     /// Kinds of server.
     pub kinds: Vec<String>,
-    /// The values of a load report, in their order.
+    /// The fields of a load report, in their order.
     pub report: Vec<ReportField>,
 }
 
-/// The place of a name among those of the settings.
+/// Returns the index of a name among those of the settings.
 pub fn index(field: &str, names: &[String], name: &str) -> Parsed<u16> {
     match names.iter().position(|n| n == name).and_then(|i| u16::try_from(i).ok()) {
         Some(i) => Ok(i),
@@ -93,7 +94,7 @@
     }
 }
 
-/// The settings object as it is written.
+/// The settings object, with the names and units of its JSON form.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Info {
@@ -189,13 +190,14 @@
     share: f64,
 }
 
-/// Spans that others are divided by are at least this long, in microseconds: a warm-up of 0 is over at once.
-const LEAST_SPAN: Micros = 1;
+/// The shortest time span that is used as a divisor, in microseconds. A warm-up of 0 becomes this span and so ends at
+/// once.
+const MIN_SPAN: Micros = 1;
 
-/// Where the settings have what the decisions call so.
-fn place(error: &SettingsError) -> &'static str {
-    let (SettingsError::Empty(what) | SettingsError::OutOfRange(what)) = error;
-    match *what {
+/// Returns the field of the settings object that holds what the decision module's error refers to.
+fn field_of_error(error: &SettingsError) -> &'static str {
+    let (SettingsError::Empty(name) | SettingsError::OutOfRange(name)) = error;
+    match *name {
         "dispatchers" => "Info ReplicasOfMe",
         "kinds" => "Info Models",
         "classes" => "Info Classes",
@@ -216,36 +218,40 @@
 }
 
 impl Info {
-    /// The settings as the decisions take them.
+    /// Converts the settings to the form of the decision module.
     pub fn settings(&self) -> Parsed<Settings> {
-        let per = |key: &str, values: &[f64], at: usize| match values.get(at) {
+        let entry = |key: &str, values: &[f64], index: usize| match values.get(index) {
             Some(value) => Ok(*value),
             None => field_error(&format!("Info {key}"), "has too few entries"),
         };
         let extra = &self.extra;
         let mut kinds = Vec::new();
-        for (at, model) in self.models.iter().enumerate() {
-            let role = match extra.kind_role.get(at).map(String::as_str) {
+        for (kind_index, model) in self.models.iter().enumerate() {
+            let role = match extra.kind_role.get(kind_index).map(String::as_str) {
                 Some("read") => Role::Reader,
                 Some("write") => Role::Writer,
                 Some("both") => Role::Mixed,
                 Some(_) => return field_error("Info Extra.KindRole", "none of read, write and both"),
                 None => return field_error("Info Extra.KindRole", "has too few entries"),
             };
-            let memory_tokens = per("Extra.KvTokens", &extra.kv_tokens, at)? as u64;
+            let memory_tokens = entry("Extra.KvTokens", &extra.kv_tokens, kind_index)? as u64;
             if memory_tokens == 0 {
                 return field_error("Info Extra.KvTokens", format!("'{model}' has no memory"));
             }
             kinds.push(Kind { role, memory_tokens });
         }
         let mut classes = Vec::new();
-        for (at, class) in self.classes.iter().enumerate() {
-            let per_1000 = per("Extra.AimUsPer1000PromptTokens", &extra.aim_us_per1000_prompt_tokens, at)?;
+        for (class_index, class) in self.classes.iter().enumerate() {
+            let per_1000 =
+                entry("Extra.AimUsPer1000PromptTokens", &extra.aim_us_per1000_prompt_tokens, class_index)?;
             classes.push(Class {
                 aim: time("Classes.AimMs", class.aim_ms)?,
                 aim_per_1000_tokens: time("Extra.AimUsPer1000PromptTokens", per_1000 / 1000.0)?,
                 deadline: time("Classes.DeadlineMs", class.deadline_ms)?,
-                token_aim: time("Extra.TokenAimMs", per("Extra.TokenAimMs", &extra.token_aim_ms, at)?)?,
+                token_aim: time(
+                    "Extra.TokenAimMs",
+                    entry("Extra.TokenAimMs", &extra.token_aim_ms, class_index)?,
+                )?,
                 worth: class.points,
                 late_worth: class.late_value,
                 effect: class.effect()?,
@@ -279,9 +285,9 @@
                 time_left_slack: TIME_LEFT_SLACK,
                 drain_grace: time("Rules.DrainGraceMs", rules.drain_grace_ms)?,
                 cold_from: rules.cold_from,
-                warm_up: time("Rules.WarmUpMs", rules.warm_up_ms)?.max(LEAST_SPAN),
+                warm_up: time("Rules.WarmUpMs", rules.warm_up_ms)?.max(MIN_SPAN),
                 fall_multiple: rules.fall_multiple,
-                fall_after: time("Rules.TipAfterMs", rules.tip_after_ms)?.max(LEAST_SPAN),
+                fall_after: time("Rules.TipAfterMs", rules.tip_after_ms)?.max(MIN_SPAN),
                 ask_within: time("Rules.AskWithinMs", rules.ask_within_ms)?,
                 release_within: time("Extra.ReleaseWithinMs", extra.release_within_ms)?,
             },
@@ -306,21 +312,21 @@
         };
         match settings.check() {
             Ok(()) => Ok(settings),
-            Err(error) => field_error(place(&error), error.to_string()),
+            Err(error) => field_error(field_of_error(&error), error.to_string()),
         }
     }
 
-    /// What holds for connections: 15 s and 250 ms where the settings don't say, or say 0, which no connection could
-    /// keep.
+    /// Returns the settings of connections. A time that is missing or 0, with which no connection could work, is
+    /// replaced by its default: 15 s of idle time, 250 ms to connect.
     pub fn links(&self) -> Parsed<Links> {
-        let told = |ms: Option<f64>, otherwise| ms.filter(|ms| *ms != 0.0).unwrap_or(otherwise);
+        let or_default = |ms: Option<f64>, default| ms.filter(|ms| *ms != 0.0).unwrap_or(default);
         Ok(Links {
-            idle: time("Limits.ConnIdleMs", told(self.limits.conn_idle_ms, 15_000.0))?,
-            connect: time("Limits.ConnectTimeoutMs", told(self.limits.connect_timeout_ms, 250.0))?,
+            idle: time("Limits.ConnIdleMs", or_default(self.limits.conn_idle_ms, 15_000.0))?,
+            connect: time("Limits.ConnectTimeoutMs", or_default(self.limits.connect_timeout_ms, 250.0))?,
         })
     }
 
-    /// The names by which events are mapped.
+    /// Returns the names by which those in events are resolved.
     pub fn names(self) -> Names {
         let report = (self.report.fields.iter())
             .map(|field| match field.as_str() {
