--- a/src/program/cli/expect/site.rs
+++ b/src/program/cli/expect/site.rs
@@ -11,7 +11,7 @@
 use crate::interface::ServerId;
 use crate::membership::Place;
 use crate::program::cli::{Verdict, check, complain, servers, source};
-use crate::program::site::Frame;
+use crate::program::site::TrialContext;
 use crate::protocol::config::Config;
 
 /// Which site is meant.
@@ -42,7 +42,7 @@
     let value = serde_json::from_str(&text.text).map_err(complain)?;
     let files = servers::good(directory, &catalog)?;
     let settings = config.settings.settings().map_err(complain)?;
-    let frame = Frame { names: config.settings.clone().names(), settings, catalog };
+    let frame = TrialContext { names: config.settings.clone().names(), settings, catalog };
     let site = frame.site(&files).ok_or(Verdict::Refused)?;
     let all = files.values().flat_map(|file| file.servers.iter());
     let in_directory = |place: &Place| {
--- a/src/program/life.rs
+++ b/src/program/life.rs
@@ -1,4 +1,4 @@
-//! The program's phases, from start to exit, as named states of one object.
+//! One run of the program: starts the actors, serves clients, and shuts down after SIGTERM.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use tokio::task::JoinSet;
 
 use super::error::ProgramError;
-use super::lists::{Known, Start};
+use super::lists::{KnownServers, ListSetup};
 use super::tools;
 use crate::documents::operator::Operator;
 use crate::documents::read::Source;
@@ -34,45 +34,47 @@
 use crate::transport::peer::connector::Clients;
 use crate::transport::peer::{Dialect, PeerContext};
 
-/// The deadline is counted as at least this by those who send SIGKILL...
-const LEAST_DEADLINE: Micros = 3_000_000;
-/// ... which comes this long after it at the earliest; the program exits a little ahead.
-const BEFORE_KILL: Duration = Duration::from_millis(500);
-/// A new configuration that can't be read may still be on its way: it is read again after this...
-const READ_AGAIN: Duration = Duration::from_millis(200);
-/// ... so many times.
-const READINGS: u32 = 5;
-/// Clients are taken on without discovery's first answer after this, by the known list: discovery may be silent, or
-/// have nothing newer to tell.
-const PATIENCE: Duration = Duration::from_millis(100);
-/// The same where nothing is known yet, or files have to say who is a member.
-const PATIENCE_UNKNOWN: Duration = Duration::from_secs(3);
+/// The platform sends SIGKILL some time after the longest deadline of a class has passed. It counts that deadline as at
+/// least this many microseconds.
+const MIN_KILL_DEADLINE: Micros = 3_000_000;
+/// SIGKILL is sent this long after the deadline at the earliest. The program exits a little before.
+const KILL_MARGIN: Duration = Duration::from_millis(500);
+/// A new configuration that can't be read may not be completely written yet. It is read again after this delay.
+const RELOAD_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// How often a new configuration is read before the program gives up.
+const MAX_RELOAD_ATTEMPTS: u32 = 5;
+/// How long the program waits for discovery's first response before it accepts clients with the known list.
+/// Discovery may not respond, or have nothing newer to send.
+const DISCOVERY_WAIT: Duration = Duration::from_millis(100);
+/// The same if there is no known list, or if the members come from files.
+const DISCOVERY_WAIT_WITHOUT_LIST: Duration = Duration::from_secs(3);
 
-/// All that the program is told at its start.
+/// Everything that the program needs to start.
 pub struct Setup {
     /// The platform's configuration.
     pub config: Config,
-    /// The operator's, which is empty on the platform.
+    /// The operator's document, which is empty on the platform.
     pub operator: Operator,
-    /// The file that the platform's configuration is from, which SIGHUP has read again.
+    /// The file of the platform's configuration, which is read again on SIGHUP.
     pub file: Option<String>,
-    /// The clients' listening socket, where this process inherits it.
+    /// The listening socket for clients, if this process inherits it.
     pub accept: Option<std::net::TcpListener>,
 }
 
-/// A variable of the environment, if it says anything.
+/// Returns the value of an environment variable, or `None` if it is unset or empty.
 fn variable(name: &'static str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
+/// Reads a file.
 pub(super) fn read(path: &str) -> Result<String, ProgramError> {
     std::fs::read_to_string(path).map_err(|error| ProgramError::File(path.to_string(), error))
 }
 
 impl Setup {
-    /// Reads the configuration that the environment names, and the operator's document if one is given.
+    /// Reads the configuration that LB_CONFIG names, and the operator's document if one is given.
     pub fn read(operator: Option<&str>) -> Result<Self, ProgramError> {
-        // First of all: a descriptor opened before might get the number.
+        // This has to happen first: a descriptor that is opened earlier might get the inherited one's number.
         let accept = variable("LB_ACCEPT_FD").map(|number| inherited_listener(&number)).transpose()?;
         let path = variable("LB_CONFIG").ok_or(ProgramError::Variable("LB_CONFIG"))?;
         let operator = match operator {
@@ -85,12 +87,12 @@
     }
 }
 
-/// Takes a new configuration on at each SIGHUP, in whatever phase: of it, where discovery listens. What can't
-/// be read leaves all as it was. Without this the signal would end the program.
+/// Reloads the configuration at each SIGHUP, in every phase. Only the address of discovery is taken from it. If it
+/// can't be read, nothing changes. Without a handler the signal would end the program.
 async fn reload(mut hangup: Signal, file: Option<String>, discovery: watch::Sender<String>) {
     while hangup.recv().await.is_some() {
         let Some(file) = &file else { continue };
-        for reading in 1..=READINGS {
+        for reading in 1..=MAX_RELOAD_ATTEMPTS {
             match read(file).and_then(|text| Ok(Config::parse(&text)?)) {
                 Ok(config) => {
                     tracing::info!(discovery.address = config.discovery.as_str(), "new configuration");
@@ -99,7 +101,7 @@
                 }
                 Err(error) => tracing::warn!(reading, %error, "the new configuration can't be read"),
             }
-            tokio::time::sleep(READ_AGAIN).await;
+            tokio::time::sleep(RELOAD_RETRY_DELAY).await;
         }
     }
 }
@@ -112,18 +114,23 @@
     listener: Listener,
     admin: Option<OperatorsListener>,
     rpc: Option<(Listener, axum::Router)>,
-    heard: watch::Receiver<bool>,
-    patience: Duration,
-    longest: Duration,
+    /// True once the members are known from discovery or files.
+    list_received: watch::Receiver<bool>,
+    /// How long to wait for that before clients are accepted.
+    list_wait: Duration,
+    /// The longest deadline of a class, but at least `MIN_KILL_DEADLINE`.
+    max_deadline: Duration,
     terminate: Signal,
-    report: Signal,
+    /// SIGUSR1, which requests the metrics on standard output.
+    print_metrics: Signal,
 }
 
 impl Program {
-    /// Starts the actors and listens; no client is invited yet.
+    /// Starts the actors and opens the listeners. The program reports itself as ready only in `run`.
     pub async fn start(setup: Setup) -> Result<Self, ProgramError> {
         let Setup { config, operator, file, accept } = setup;
-        let (terminate, report) = (signal(SignalKind::terminate())?, signal(SignalKind::user_defined1())?);
+        let (terminate, print_metrics) =
+            (signal(SignalKind::terminate())?, signal(SignalKind::user_defined1())?);
         let hangup = signal(SignalKind::hangup())?;
         let (clock, seed) = (Clock::start(), config.seed()?);
         let socket = if accept.is_some() { Socket::Shared } else { Socket::Own };
@@ -139,14 +146,14 @@
             }
             None => None,
         };
-        let deadline = classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+        let max_deadline = classes.iter().map(|class| class.deadline).max().unwrap_or(0);
         let (mut actor, hub) = hub::new(core, clock, budget.clone());
         let names = config.settings.clone().names();
         let clients = Clients::new(links, &budget.peers);
         let fields = names.report.clone().into();
-        let common =
+        let peer_context =
             PeerContext { pool, hub: hub.clone(), clients, links, dialect: Dialect::Platform, fields };
-        actor.add_pool(common, names.classes.clone());
+        actor.add_pool(peer_context, names.classes.clone());
         let listener = match accept {
             Some(accept) => Listener::adopt(accept, budget.fronts.clone())?,
             None => listen(&config.listen, &budget).await?,
@@ -160,7 +167,7 @@
         };
         let mut rpc_front = None;
         if let Some((rpc, pool)) = tools_pool {
-            actor.add_pool(tools::common(rpc, pool, &hub), rpc.names.classes.clone());
+            actor.add_pool(tools::peer_context(rpc, pool, &hub), rpc.names.classes.clone());
             let address = rpc.listen.as_deref().ok_or(ProgramError::NoFront)?;
             rpc_front = Some((listen(address, &budget).await?, rpc, pool));
         }
@@ -179,21 +186,21 @@
         if let Some(collectd) = operator.collectd {
             tokio::spawn(export::to_collectd(collectd, hub.clone()));
         }
-        let listed = !config.discovery.is_empty();
+        let has_discovery = !config.discovery.is_empty();
         let (discovery, address) = watch::channel(config.discovery);
         tokio::spawn(reload(hangup, file, discovery));
-        let list = Start {
+        let list = ListSetup {
             pool,
             names: &names,
             settings: &settings,
             links,
             files: operator.servers.as_ref(),
-            discovery: listed.then_some(address),
-            known: Known::List(&config.known),
+            discovery: has_discovery.then_some(address),
+            known: KnownServers::List(&config.known),
             seed,
         };
-        let heard = list.run(&hub, clock).await?;
-        let knows = !config.known.members.is_empty() && operator.servers.is_none();
+        let list_received = list.run(&hub, clock).await?;
+        let has_known_list = !config.known.members.is_empty() && operator.servers.is_none();
         let connections = budget.fronts;
         let front = Front { hub: hub.clone(), pool, names: Arc::new(names), phase: connections.phases() };
         Ok(Program {
@@ -203,31 +210,31 @@
             listener,
             admin,
             rpc,
-            heard,
-            patience: if knows { PATIENCE } else { PATIENCE_UNKNOWN },
-            longest: Duration::from_micros(deadline.max(LEAST_DEADLINE)),
+            list_received,
+            list_wait: if has_known_list { DISCOVERY_WAIT } else { DISCOVERY_WAIT_WITHOUT_LIST },
+            max_deadline: Duration::from_micros(max_deadline.max(MIN_KILL_DEADLINE)),
             terminate,
-            report,
+            print_metrics,
         })
     }
 
-    /// The phases as they come.
+    /// Returns a receiver of the current phase.
     pub fn phases(&self) -> watch::Receiver<Phase> {
         self.connections.phases()
     }
 
-    /// Where clients of the platform connect, and those of the JSON-RPC front if it is set up.
+    /// Returns the address that the platform's clients connect to, and that of the JSON-RPC front if there is one.
     pub fn addresses(&self) -> io::Result<(SocketAddr, Option<SocketAddr>)> {
         let rpc = self.rpc.as_ref().map(|(listener, _)| listener.address()).transpose()?;
         Ok((self.listener.address()?, rpc))
     }
 
-    /// Where operators call, if they do.
+    /// Returns the address that operators connect to, if there is one.
     pub fn admin_address(&self) -> io::Result<Option<SocketAddr>> {
         self.admin.as_ref().map(OperatorsListener::address).transpose()
     }
 
-    /// Serves until SIGTERM, then finishes; gives the counters at the end.
+    /// Serves until SIGTERM, then finishes what is open. Returns the final counters.
     pub async fn run(mut self) -> Result<Counters, ProgramError> {
         let mut serving = JoinSet::new();
         tokio::spawn(self.connections.clone().keep_time());
@@ -239,29 +246,30 @@
         if let Some((listener, routes)) = self.rpc {
             serving.spawn(listener.serve(routes));
         }
-        let mut heard = self.heard;
-        let heard = async { heard.wait_for(|heard| *heard).await.is_ok() };
-        let mut known = pin!(tokio::time::timeout(self.patience, heard));
+        let mut list_received = self.list_received;
+        let list_received = async { list_received.wait_for(|received| *received).await.is_ok() };
+        let mut ready = pin!(tokio::time::timeout(self.list_wait, list_received));
         let phases = self.connections.phases();
         loop {
             let starting = *phases.borrow() == Phase::Starting;
             tokio::select! {
-                _ = &mut known, if starting => self.connections.feed(Input::Ready),
+                _ = &mut ready, if starting => self.connections.feed(Input::Ready),
                 _ = self.terminate.recv() => break,
-                _ = self.report.recv() => println!("{}", figures::line(&self.hub.counters().await.all_metrics())),
+                _ = self.print_metrics.recv() => println!("{}", figures::line(&self.hub.counters().await.all_metrics())),
                 Some(ended) = serving.join_next() => ended.map_err(io::Error::other)?,
             }
         }
         self.connections.feed(Input::Terminate);
-        // What is still open then would be cut off by the kill as well.
+        // What is still open after this time would be cut off by SIGKILL anyway.
         let ended = async { while serving.join_next().await.is_some() {} };
-        let _ = tokio::time::timeout(self.longest + BEFORE_KILL, ended).await;
-        let counted = self.hub.counters().await;
+        let _ = tokio::time::timeout(self.max_deadline + KILL_MARGIN, ended).await;
+        let counters = self.hub.counters().await;
         self.connections.feed(Input::Finished);
-        Ok(counted)
+        Ok(counters)
     }
 }
 
+/// Opens a listener for clients.
 async fn listen(address: &str, budget: &Budget) -> Result<Listener, ProgramError> {
     let listener = Listener::bind(address, budget.fronts.clone()).await;
     listener.map_err(|error| ProgramError::Listen(address.to_string(), error))
--- a/src/program/lists.rs
+++ b/src/program/lists.rs
@@ -1,4 +1,5 @@
-//! Wires a pool's list: what it knew, the set that was kept, the watched files and discovery.
+//! Sets up the server list of a pool from its sources: the known servers, the saved set, the watched files and
+//! discovery.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -6,7 +7,7 @@
 use tokio::sync::watch;
 
 use super::error::ProgramError;
-use super::site::{self, Frame, NO_RULES};
+use super::site::{self, NO_RULES, TrialContext};
 use crate::documents::operator::Watched;
 use crate::documents::read::Source;
 use crate::interface::Settings;
@@ -23,48 +24,51 @@
 use crate::transport::peer::connector;
 use crate::transport::peer::idle::ConnectionBudget;
 
-/// Connections to discovery: one is enough, and those before it may still be closing.
-const DISCOVERY_CONNECTIONS: usize = 4;
+/// The most connections to discovery. One is enough, but earlier ones may still be closing.
+const MAX_DISCOVERY_CONNECTIONS: usize = 4;
 
-/// What sets are checked against.
+/// Builds the catalog of zones, kinds and cells that server sets are checked against.
 pub(super) fn catalog(names: &Names, settings: &Settings, files: Option<&Watched>) -> Catalog {
     let kinds = names.kinds.iter().zip(&settings.kinds).map(|(name, kind)| (name.clone(), kind.role));
     let cells = files.and_then(|files| files.cells.clone());
     Catalog { zones: names.zones.clone(), kinds: kinds.collect(), cells }
 }
 
-/// What a list begins with.
-pub(super) enum Known<'a> {
-    /// Discovery's list, perhaps old.
+/// The servers that a list starts with.
+pub(super) enum KnownServers<'a> {
+    /// The last known list of discovery, which may be outdated.
     List(&'a List),
-    /// What a document lists.
+    /// The servers that the operator's document lists.
     Servers(Vec<Listed>),
 }
 
-/// A pool's list to start.
-pub(super) struct Start<'a> {
+/// The parameters of a pool's server list.
+pub(super) struct ListSetup<'a> {
     pub(super) pool: PoolId,
     pub(super) names: &'a Names,
     pub(super) settings: &'a Settings,
     pub(super) links: Links,
     pub(super) files: Option<&'a Watched>,
-    /// Where discovery listens; none where there is none.
+    /// The address of discovery, which may change; `None` if there is no discovery.
     pub(super) discovery: Option<watch::Receiver<String>>,
-    pub(super) known: Known<'a>,
-    /// For the lots by which calls are spread.
+    pub(super) known: KnownServers<'a>,
+    /// The seed of the jitter that spreads the calls to discovery.
     pub(super) seed: u64,
 }
 
-impl Start<'_> {
-    /// Starts the list's actor; true comes back when servers have been heard of.
+impl ListSetup<'_> {
+    /// Starts the list's actor. The returned receiver becomes true when the first servers are known.
     pub(super) async fn run(self, hub: &Hub, clock: Clock) -> Result<watch::Receiver<bool>, ProgramError> {
         let rules = self.files.map_or(NO_RULES, |files| files.rules);
         let catalog = catalog(self.names, self.settings, self.files);
         let by_files = self.files.is_some();
-        let frame =
-            Frame { names: self.names.clone(), settings: self.settings.clone(), catalog: catalog.clone() };
-        let guard = self.files.map(|files| guard(files, frame)).transpose()?.flatten();
-        let (mut list, handle, heard) = ListActor::new(ListParts {
+        let context = TrialContext {
+            names: self.names.clone(),
+            settings: self.settings.clone(),
+            catalog: catalog.clone(),
+        };
+        let guard = self.files.map(|files| guard(files, context)).transpose()?.flatten();
+        let (mut list, handle, list_received) = ListActor::new(ListParts {
             pool: self.pool,
             membership: Membership::new(catalog, rules, by_files),
             names: self.names.clone(),
@@ -75,11 +79,11 @@
             guard,
         });
         let version = match self.known {
-            Known::List(known) => {
+            KnownServers::List(known) => {
                 list.feed_known_list(known).await;
                 Some(known.revision).filter(|_| !known.members.is_empty())
             }
-            Known::Servers(known) => {
+            KnownServers::Servers(known) => {
                 list.feed_known_servers(known).await;
                 None
             }
@@ -88,7 +92,7 @@
             read_files(&mut list, watched, &handle).await?;
         }
         if let Some(address) = self.discovery {
-            let client = connector::client(self.links, ConnectionBudget::new(DISCOVERY_CONNECTIONS));
+            let client = connector::client(self.links, ConnectionBudget::new(MAX_DISCOVERY_CONNECTIONS));
             tokio::spawn(
                 Watcher {
                     address,
@@ -107,12 +111,12 @@
             );
         }
         tokio::spawn(list.run());
-        Ok(heard)
+        Ok(list_received)
     }
 }
 
-/// What tries each new set, if documents of expectations are set up.
-fn guard(watched: &Watched, frame: Frame) -> Result<Option<TrialRunner>, ProgramError> {
+/// Returns the function that tries each new set against the documents of expectations, if there are any.
+fn guard(watched: &Watched, context: TrialContext) -> Result<Option<TrialRunner>, ProgramError> {
     if watched.expectations.is_empty() {
         return Ok(None);
     }
@@ -124,45 +128,45 @@
         Ok(source)
     };
     let documents = watched.expectations.iter().map(read).collect::<Result<Vec<_>, ProgramError>>()?;
-    Ok(Some(Arc::new(move |files, go_on| site::against(&frame, &documents, files, go_on))))
+    Ok(Some(Arc::new(move |files, go_on| site::failed_expectations(&context, &documents, files, go_on))))
 }
 
-/// Begins from the set that was kept, reads the files once, and watches them from then on.
+/// Starts from the saved set if there is one, reads the files once, and watches them from then on.
 async fn read_files(
     list: &mut ListActor,
     watched: &Watched,
     handle: &crate::transport::list::ListHandle,
 ) -> Result<(), ProgramError> {
-    let kept = match &watched.state {
-        Some(state) => keep::load(state).and_then(|kept| {
-            let Some(kept) = kept else { return Ok(None) };
+    let saved = match &watched.state {
+        Some(state) => keep::load(state).and_then(|saved| {
+            let Some(saved) = saved else { return Ok(None) };
             let sets =
-                kept.sets().map_err(|error| keep::KeepError::Invalid { path: state.clone(), error })?;
-            Ok(Some((kept, sets)))
+                saved.sets().map_err(|error| keep::KeepError::Invalid { path: state.clone(), error })?;
+            Ok(Some((saved, sets)))
         }),
         None => Ok(None),
     };
-    let mut kept_age = None;
-    match kept {
-        Ok(Some((kept, sets))) => {
-            kept_age = Some((kept.generation, age(kept.unix_s)));
-            list.feed_saved_set(kept.generation, sets).await;
+    let mut saved_version = None;
+    match saved {
+        Ok(Some((saved, sets))) => {
+            saved_version = Some((saved.generation, age(saved.unix_s)));
+            list.feed_saved_set(saved.generation, sets).await;
         }
         Ok(None) => {}
-        Err(error) => tracing::warn!(%error, "the set of servers that was kept is not trusted"),
+        Err(error) => tracing::warn!(%error, "the saved set of servers is not trusted and is ignored"),
     }
     let mut directory = Directory::new(&watched.directory, watched.most_bytes);
     let scan = directory.scan();
     list.feed_first_scan(scan.clone()).await;
-    let refused: Vec<_> = list.refusals().to_vec();
-    let bad = refused.iter().any(|refusal| *refusal.reason != Reason::Resting);
-    match kept_age {
-        Some((generation, age)) if bad && list.has_accepted_set() => {
+    let file_refusals: Vec<_> = list.refusals().to_vec();
+    let has_bad_files = file_refusals.iter().any(|refusal| *refusal.reason != Reason::Resting);
+    match saved_version {
+        Some((generation, age)) if has_bad_files && list.has_accepted_set() => {
             tracing::warn!(generation, age, "the files are refused: beginning from the set that was kept");
         }
-        _ if !list.has_accepted_set() && (bad || refused.is_empty()) => {
+        _ if !list.has_accepted_set() && (has_bad_files || file_refusals.is_empty()) => {
             let directory = watched.directory.display().to_string();
-            return Err(ProgramError::NoServers { directory, refusals: refused });
+            return Err(ProgramError::NoServers { directory, refusals: file_refusals });
         }
         _ => {}
     }
--- a/src/program/mod.rs
+++ b/src/program/mod.rs
@@ -1,4 +1,4 @@
-//! The program: it wires the layers together and takes them from start to exit.
+//! The program: connects the layers and runs them from start to exit. Also the command line and the plug-in.
 
 pub mod cli;
 mod error;
--- a/src/program/plugin.rs
+++ b/src/program/plugin.rs
@@ -1,5 +1,5 @@
-//! The client-side plug-in: a [`tower::Service`] that an RPC client mounts to have its tool calls relayed
-//! from its own process, by the same core and module as the daemon's.
+//! The client-side plug-in: a [`tower::Service`] by which an RPC client relays its tool calls from within its own
+//! process, with the same core and decision module as the daemon.
 
 use std::task::{Context, Poll};
 
@@ -18,40 +18,40 @@
 use crate::transport::hub::{self, message::Hub};
 use crate::transport::relay::{Call, Relay};
 
-/// Notifications that may wait for whoever reads them.
-const NOTES_AHEAD: usize = 64;
+/// How many notifications are buffered while the task that discards them is busy.
+const NOTES_BUFFER_LEN: usize = 64;
 
-/// A tool call as a client hands it in.
+/// A tool call of a client.
 #[derive(Clone, Debug)]
 pub struct ToolCall {
     /// The call.
     pub call: Call,
-    /// Takes what the server tells before its answer; none: that is passed over.
+    /// Receives the notifications that the server sends before its answer. Without a receiver they are discarded.
     pub notes: Option<mpsc::Sender<Value>>,
 }
 
-/// The plug-in. Its clones share one core; each must be used within the tokio runtime that it started in.
+/// The plug-in. Its clones share one core and must be used within the tokio runtime in which it was started.
 #[derive(Clone)]
 pub struct Plugin {
     relay: Relay,
 }
 
 impl Plugin {
-    /// Starts the core and the actors for the tool servers. `name` opens the ids of calls and has to be
-    /// another one in each process; at most `sockets` descriptors are used.
+    /// Starts the core and the actors of the tool servers. `name` is the prefix of the ids of calls and must be
+    /// different in each process. At most `sockets` file descriptors are used.
     pub async fn start(rpc: Rpc, name: &str, seed: u64, sockets: usize) -> Result<Self, ProgramError> {
         let clock = Clock::start();
         let budget = Budget::new(sockets, Socket::Own, clock);
         let mut core = Core::default();
         let pool = core.add_pool(rpc.settings.clone(), seed, clock.now())?;
         let (mut actor, hub) = hub::new(core, clock, budget);
-        actor.add_pool(tools::common(&rpc, pool, &hub), rpc.names.classes.clone());
+        actor.add_pool(tools::peer_context(&rpc, pool, &hub), rpc.names.classes.clone());
         tokio::spawn(actor.run());
         let prefix = format!("{name}-{seed:x}");
         Ok(Plugin { relay: tools::start(&rpc, pool, &hub, clock, (prefix, seed)).await? })
     }
 
-    /// The counters.
+    /// Returns the counters.
     pub async fn totals(&self) -> Totals {
         self.hub().counters().await.totals
     }
@@ -70,14 +70,14 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Dropping the future calls the call off.
+    /// Dropping the future cancels the call.
     fn call(&mut self, request: ToolCall) -> Self::Future {
         let relay = self.relay.clone();
         Box::pin(async move {
             let tool = relay.tool(CALL, &request.call.params)?;
             let notes = request.notes.unwrap_or_else(|| {
-                let (notes, mut passed_over) = mpsc::channel(NOTES_AHEAD);
-                tokio::spawn(async move { while passed_over.recv().await.is_some() {} });
+                let (notes, mut discarded) = mpsc::channel(NOTES_BUFFER_LEN);
+                tokio::spawn(async move { while discarded.recv().await.is_some() {} });
                 notes
             });
             relay.run(request.call, tool, &notes).await
--- a/src/program/site.rs
+++ b/src/program/site.rs
@@ -1,4 +1,4 @@
-//! The site that expectations are tried against, from the files of a set; and the guard that tries each new set.
+//! Builds the site that expectations are tried against from the files of a set, and tries each new set as its guard.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::membership::{Catalog, Input, Member, Membership, Output, Reason, Refusal, SetRules};
 use crate::protocol::settings::Names;
 
-/// Where no files are set up nothing is decided by these.
+/// Placeholder rules for a membership that takes no changes from files, so that none of these values is used.
 pub(super) const NO_RULES: SetRules = SetRules {
     rest: 0,
     pace: 0,
@@ -21,21 +21,21 @@
     trial: None,
 };
 
-/// What the servers of a set are tried with.
+/// The settings that apply to a trial of any set.
 #[derive(Clone, Debug)]
-pub(super) struct Frame {
+pub(super) struct TrialContext {
     pub(super) names: Names,
     pub(super) settings: Settings,
     pub(super) catalog: Catalog,
 }
 
-impl Frame {
-    /// The site of a set, as the program would take it at its first start; none if it would not.
+impl TrialContext {
+    /// Returns the site of a set as the program would accept it at its first start, or `None` if it would refuse it.
     pub(super) fn site(&self, files: &Files) -> Option<Site> {
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         let set: Vec<Arc<_>> = files.values().cloned().collect();
-        Membership::new(self.catalog.clone(), NO_RULES, true).handle(0, Input::Saved(0, set), &mut out);
-        let published = out.into_iter().find_map(|output| match output {
+        Membership::new(self.catalog.clone(), NO_RULES, true).handle(0, Input::Saved(0, set), &mut outputs);
+        let published = outputs.into_iter().find_map(|output| match output {
             Output::Publish(generation) => Some(generation),
             _ => None,
         })?;
@@ -46,33 +46,35 @@
     }
 }
 
-/// What speaks against a set by the documents of expectations; it ends early once `go_on` says no.
-pub(super) fn against(
-    frame: &Frame,
+/// Returns a refusal for each expectation that a set does not meet, and for each document that can't be read. Stops
+/// early once `go_on` returns false.
+pub(super) fn failed_expectations(
+    context: &TrialContext,
     documents: &[Source],
     files: &Files,
     go_on: &dyn Fn() -> bool,
 ) -> Vec<Refusal> {
-    // A set that makes no site has been refused before.
-    let Some(site) = frame.site(files) else { return Vec::new() };
+    // A set that makes no site has already been refused.
+    let Some(site) = context.site(files) else { return Vec::new() };
     let mut refusals = Vec::new();
     for document in documents {
         match expectations::parse(document, &site) {
-            Ok(all) => refusals.extend(all.iter().filter_map(|written| objection(&site, written, go_on))),
+            Ok(parsed) => refusals.extend(parsed.iter().filter_map(|written| refusal(&site, written, go_on))),
             Err(refusal) => refusals.push(refusal),
         }
     }
     refusals
 }
 
-fn objection(site: &Site, written: &Written, go_on: &dyn Fn() -> bool) -> Option<Refusal> {
+/// Returns a refusal if the site does not meet the expectation.
+fn refusal(site: &Site, written: &Written, go_on: &dyn Fn() -> bool) -> Option<Refusal> {
     let name = written.expectation.name.clone();
-    let at = |clause: usize| written.clauses.get(clause).unwrap_or(&written.place).clone();
+    let place = |clause: usize| written.clauses.get(clause).unwrap_or(&written.place).clone();
     let (clause, verdict, why) = match judge_while(site, &written.expectation, go_on) {
         Ok(None | Some(Verdict::Holds { .. })) => return None,
         Ok(Some(Verdict::Fails { clause, why, .. })) => (clause, "fails", why),
         Ok(Some(Verdict::Undecided { clause, why })) => (clause, "stays undecided", why),
         Err(error) => (usize::MAX, "can't be tried", error.to_string()),
     };
-    Some(Refusal::new(Reason::Expectation { name, verdict, why }, at(clause)))
+    Some(Refusal::new(Reason::Expectation { name, verdict, why }, place(clause)))
 }
--- a/src/protocol/platform.rs
+++ b/src/protocol/platform.rs
@@ -206,12 +206,12 @@
             self.partial_event.extend_from_slice(&bytes);
             self.partial_event.split().freeze()
         };
-        let complete = buffered.windows(2).rposition(|pair| pair == b"\n\n").map_or(0, |start| start + 2);
-        self.partial_event.extend_from_slice(&buffered[complete..]);
+        let complete_len = buffered.windows(2).rposition(|pair| pair == b"\n\n").map_or(0, |start| start + 2);
+        self.partial_event.extend_from_slice(&buffered[complete_len..]);
         if self.partial_event.len() > Self::MAX_EVENT_BYTES {
             return Err(MalformedStream);
         }
-        let complete = buffered.slice(..complete);
+        let complete = buffered.slice(..complete_len);
         complete.split(|byte| *byte == b'\n').try_for_each(|line| self.inspect_line(line))?;
         Ok(complete)
     }
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -220,7 +220,7 @@
 impl Info {
     /// Converts the settings to the form of the decision module.
     pub fn settings(&self) -> Parsed<Settings> {
-        let entry = |key: &str, values: &[f64], index: usize| match values.get(index) {
+        let entry = |key: &str, values: &[f64], position: usize| match values.get(position) {
             Some(value) => Ok(*value),
             None => field_error(&format!("Info {key}"), "has too few entries"),
         };
