--- a/src/program/cli/check.rs
+++ b/src/program/cli/check.rs
@@ -1,4 +1,4 @@
-//! `birchspur check`: every document, without serving.
+//! `birchspur check`: checks every document without serving.
 
 use std::path::Path;
 
@@ -8,7 +8,7 @@
 use crate::program::lists::catalog;
 use crate::protocol::config::Config;
 
-/// Reads a configuration far enough to serve by it.
+/// Reads and checks a configuration as the program would before it serves.
 pub(super) fn config(path: &str) -> Result<(Config, Catalog), Verdict> {
     let text = source(Path::new(path)).map_err(complain)?;
     let config = Config::parse(&text.text).map_err(|error| refuse(path, error))?;
@@ -21,25 +21,27 @@
     Ok((config, catalog))
 }
 
+/// Prints why a file is refused.
 fn refuse(path: &str, error: impl std::fmt::Display) -> Verdict {
     eprintln!("birchspur: {path}: {error}");
     Verdict::Refused
 }
 
+/// Checks the directory of server files that the operator's document names.
 fn directory(watched: &Watched, catalog: Catalog) -> Verdict {
     let catalog = Catalog { cells: watched.cells.clone(), ..catalog };
     servers::check(&watched.directory, Some(&catalog), watched.most_bytes)
 }
 
-/// Checks them all and says what was found.
+/// Checks all documents and prints the results.
 pub(super) fn run(config_path: Option<&str>, operator_path: Option<&str>) -> Verdict {
     let mut worst = Verdict::Good;
-    let mut known = None;
+    let mut config_catalog = None;
     match config_path.map(str::to_string).or_else(|| std::env::var("LB_CONFIG").ok()) {
         Some(path) => match config(&path) {
             Ok((_, catalog)) => {
                 print(&format!("{path}: good\n"));
-                known = Some(catalog);
+                config_catalog = Some(catalog);
             }
             Err(verdict) => worst = worst.max(verdict),
         },
@@ -61,10 +63,10 @@
         }
     };
     print(&format!("{path}: good\n"));
-    match (&operator.servers, known) {
+    match (&operator.servers, config_catalog) {
         (Some(watched), Some(catalog)) => worst = worst.max(directory(watched, catalog)),
         (Some(watched), None) => {
-            print("zones and kinds are not checked: that needs --config\n");
+            print("zones and kinds are not checked: add --config to check them\n");
             worst = worst.max(servers::check(&watched.directory, None, watched.most_bytes));
         }
         (None, _) => {}
--- a/src/program/cli/expect/against.rs
+++ b/src/program/cli/expect/against.rs
@@ -1,10 +1,11 @@
-//! `birchspur expect --against`: what a change does to the verdicts, by which of its lines, and to the flows.
+//! `birchspur expect --against`: reports which verdicts a change of the configuration alters, which of its lines
+//! cause that, and where requests move.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde_json::Value;
 
-use super::site::Read;
+use super::site::SiteSources;
 use super::tried::{self, Document};
 use crate::documents::read::Source;
 use crate::expect::compare::{Flow, Part, alike, blame, flows};
@@ -12,52 +13,55 @@
 use crate::interface::{ServerEntry, ServerId, ServerState, SettingsError};
 use crate::program::cli::print;
 
-/// A share that moves by less is not told.
-const TOLD: f64 = 0.02;
+/// The smallest change of a share that is reported.
+const MIN_REPORTED_CHANGE: f64 = 0.02;
 
-/// The leaves of a JSON value by their paths.
-fn leaves(value: &Value, path: String, all: &mut BTreeMap<String, Value>) {
-    let below = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+/// Collects the leaves of a JSON value by their paths.
+fn leaves(value: &Value, path: String, collected: &mut BTreeMap<String, Value>) {
+    let child_path = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
     match value {
-        Value::Object(map) => map.iter().for_each(|(name, value)| leaves(value, below(name), all)),
+        Value::Object(map) => map.iter().for_each(|(name, value)| leaves(value, child_path(name), collected)),
         Value::Array(list) => {
-            list.iter().enumerate().for_each(|(n, value)| leaves(value, format!("{path}[{n}]"), all));
+            list.iter().enumerate().for_each(|(n, value)| leaves(value, format!("{path}[{n}]"), collected));
         }
-        leaf => drop(all.insert(path, leaf.clone())),
+        leaf => drop(collected.insert(path, leaf.clone())),
     }
 }
 
-/// The path of a leaf as `serde_json` wants it.
+/// Converts the path of a leaf to a JSON pointer.
 fn pointer(path: &str) -> String {
     let steps = path.replace('[', ".").replace(']', "");
     steps.split('.').map(|step| format!("/{step}")).collect()
 }
 
-fn set(value: &Value, path: &str, leaf: Option<&Value>) -> Option<Value> {
+/// Returns a copy of the value with one leaf replaced, or `None` if either leaf does not exist.
+fn with_leaf(value: &Value, path: &str, leaf: Option<&Value>) -> Option<Value> {
     let mut value = value.clone();
     *value.pointer_mut(&pointer(path))? = leaf?.clone();
     Some(value)
 }
 
-/// The line of a leaf: where the last name of its path stands for the time that its place in the path says.
+/// Returns the line of a leaf. Searches the text for each name of the path in turn, and for as many objects after
+/// it as its index says.
 fn line(source: &Source, path: &str) -> Option<usize> {
-    let mut from = 0;
+    let mut offset = 0;
     for step in path.split('.') {
         let (name, index) =
             step.split_once('[').map_or((step, None), |(name, rest)| (name, rest.strip_suffix(']')));
-        from += source.text.get(from..)?.find(&format!("\"{name}\""))?;
+        offset += source.text.get(offset..)?.find(&format!("\"{name}\""))?;
         if let Some(index) = index.and_then(|index| index.parse::<usize>().ok()) {
-            from += source.text.get(from..)?.find('[')?;
+            offset += source.text.get(offset..)?.find('[')?;
             let opens = |c: char| c == '{';
-            let objects = source.text.get(from..)?.match_indices(opens).map(|(at, _)| at);
-            from += { objects }.nth(index).unwrap_or(0);
+            let objects = source.text.get(offset..)?.match_indices(opens).map(|(start, _)| start);
+            offset += { objects }.nth(index).unwrap_or(0);
         }
     }
-    Some(source.place(from, 0).line as usize)
+    Some(source.place(offset, 0).line as usize)
 }
 
-fn shown(entry: &ServerEntry, site: &Site) -> [(&'static str, String); 5] {
-    let name = |names: &[String], at: u16| names.get(usize::from(at)).cloned().unwrap_or_default();
+/// Returns the properties of a server by their names, as they are printed.
+fn properties(entry: &ServerEntry, site: &Site) -> [(&'static str, String); 5] {
+    let name = |names: &[String], index: u16| names.get(usize::from(index)).cloned().unwrap_or_default();
     let state = match entry.state {
         ServerState::Ready => "in-service",
         ServerState::Draining => "draining",
@@ -72,15 +76,15 @@
     ]
 }
 
-/// A server's change in words, at its place.
-fn server_change(id: ServerId, old: &Read, new: &Read) -> String {
+/// Describes how a server changes, preceded by its place in the files.
+fn server_change(id: ServerId, old: &SiteSources, new: &SiteSources) -> String {
     let (before, after) = (old.site.servers.get(&id), new.site.servers.get(&id));
     let name = before.or(after).map_or("?", |(name, _)| name);
     let place =
         new.places.get(&id).or(old.places.get(&id)).map_or(String::new(), |place| format!("{place}: "));
     match (before, after) {
         (Some((_, before)), Some((_, after))) => {
-            let (a, b) = (shown(before, &old.site), shown(after, &new.site));
+            let (a, b) = (properties(before, &old.site), properties(after, &new.site));
             let changes = a.iter().zip(&b).filter(|(a, b)| a.1 != b.1);
             let changes: Vec<_> = changes.map(|(a, b)| format!("{} {} -> {}", a.0, a.1, b.1)).collect();
             format!("{place}{name}: {}", changes.join(", "))
@@ -90,8 +94,8 @@
     }
 }
 
-/// The parts of a change: each server and each figure of the settings.
-fn parts(old: &Read, new: &Read) -> Vec<Part> {
+/// Splits the difference between two sites into parts: one for each changed server and each changed setting.
+fn parts(old: &SiteSources, new: &SiteSources) -> Vec<Part> {
     let mut parts = Vec::new();
     let ids: BTreeSet<ServerId> = old.site.servers.keys().chain(new.site.servers.keys()).copied().collect();
     for id in ids {
@@ -112,13 +116,18 @@
     leaves(&old.value, String::new(), &mut before);
     leaves(&new.value, String::new(), &mut after);
     for (path, leaf) in after.iter().filter(|(path, leaf)| before.get(*path) != Some(leaf)) {
-        let alone = set(&old.value, path, Some(leaf)).and_then(|value| old.with_config(&value));
-        let without = set(&new.value, path, before.get(path)).and_then(|value| new.with_config(&value));
-        // What can't stand alone, as a list that has grown, is told by the verdicts only.
+        let alone = with_leaf(&old.value, path, Some(leaf)).and_then(|value| old.with_config(&value));
+        let without = with_leaf(&new.value, path, before.get(path)).and_then(|value| new.with_config(&value));
+        // A change that does not make a usable configuration by itself, such as a longer list, has no part of its
+        // own and only shows in the verdicts.
         let (Some(alone), Some(without)) = (alone, without) else { continue };
-        let at = line(&new.config, path).map_or(String::new(), |line| format!(":{line}"));
-        let was = before.get(path).map_or("nothing".into(), Value::to_string);
-        parts.push(Part { what: format!("{}{at}: {path} {was} -> {leaf}", new.config.name), alone, without });
+        let line_suffix = line(&new.config, path).map_or(String::new(), |line| format!(":{line}"));
+        let old_leaf = before.get(path).map_or("nothing".into(), Value::to_string);
+        parts.push(Part {
+            what: format!("{}{line_suffix}: {path} {old_leaf} -> {leaf}", new.config.name),
+            alone,
+            without,
+        });
     }
     parts
 }
@@ -131,9 +140,9 @@
     }
 }
 
-/// How a part of the flows moves, if by enough to be told.
-fn moves(zones: &[String], before: &[f64], after: &[f64]) -> Option<String> {
-    if before.iter().zip(after).all(|(a, b)| (a - b).abs() < TOLD) {
+/// Describes how the shares of a flow change, or returns `None` if all changes are too small to be reported.
+fn share_changes(zones: &[String], before: &[f64], after: &[f64]) -> Option<String> {
+    if before.iter().zip(after).all(|(a, b)| (a - b).abs() < MIN_REPORTED_CHANGE) {
         return None;
     }
     let parts = zones.iter().zip(before.iter().zip(after));
@@ -142,27 +151,27 @@
     Some(parts.join(", "))
 }
 
-fn tell_flows(site: &Site, before: &[Flow], after: &[Flow]) {
-    let mut any = false;
+fn report_flows(site: &Site, before: &[Flow], after: &[Flow]) {
+    let mut any_change = false;
     for (a, b) in before.iter().zip(after) {
         let class = site.classes.get(usize::from(a.class.0)).map_or("?", String::as_str);
         let from = site.zones.get(usize::from(a.from.0)).map_or("?", String::as_str);
         for (what, a, b) in [("read", &a.read_in, &b.read_in), ("written", &a.written_in, &b.written_in)] {
-            if let Some(moves) = moves(&site.zones, a, b) {
-                any = true;
-                print(&format!("  {class} from {from}, {what} in: {moves}\n"));
+            if let Some(changes) = share_changes(&site.zones, a, b) {
+                any_change = true;
+                print(&format!("  {class} from {from}, {what} in: {changes}\n"));
             }
         }
     }
-    if !any {
+    if !any_change {
         print("  no share of a class and data centre moves by 2% or more\n");
     }
 }
 
-/// Tells what has changed between two sites. `old` holds the documents as the old site reads them.
-pub(super) fn tell(
-    old: (&Read, &[Document]),
-    new: (&Read, &[Document]),
+/// Prints the differences between two sites. `old` has the documents as they are read against the old site.
+pub(super) fn report(
+    old: (&SiteSources, &[Document]),
+    new: (&SiteSources, &[Document]),
     verdicts: &[expect::Verdict],
     threads: usize,
 ) -> Result<(), SettingsError> {
@@ -173,25 +182,25 @@
     let verdicts_before = tried::judge(&old.0.site, &before, threads)?;
     print("\nverdicts that changed\n");
     let mut changed = 0;
-    for (one, verdict) in tried::all(new.1).iter().zip(verdicts) {
-        let name = &one.expectation.name;
-        let Some(at) = before.iter().position(|other| other.expectation.name == *name) else { continue };
-        let was = &verdicts_before[at];
-        if alike(was, verdict) {
+    for (written, verdict) in tried::all(new.1).iter().zip(verdicts) {
+        let name = &written.expectation.name;
+        let Some(index) = before.iter().position(|other| other.expectation.name == *name) else { continue };
+        let old_verdict = &verdicts_before[index];
+        if alike(old_verdict, verdict) {
             continue;
         }
         changed += 1;
-        print(&format!("  {} -> {}: {name}\n", verdict_name(was), verdict_name(verdict)));
-        let blamed = blame(&one.expectation, was, &parts)?;
-        match blamed[..] {
+        print(&format!("  {} -> {}: {name}\n", verdict_name(old_verdict), verdict_name(verdict)));
+        let causes = blame(&written.expectation, old_verdict, &parts)?;
+        match causes[..] {
             [] => print("      by several changes together\n"),
-            _ => blamed.iter().for_each(|part| print(&format!("      by {}\n", part.what))),
+            _ => causes.iter().for_each(|part| print(&format!("      by {}\n", part.what))),
         }
     }
     if changed == 0 {
         print("  none\n");
     }
     print("\nwhere requests move\n");
-    tell_flows(&new.0.site, &flows(&old.0.site)?, &flows(&new.0.site)?);
+    report_flows(&new.0.site, &flows(&old.0.site)?, &flows(&new.0.site)?);
     Ok(())
 }
--- a/src/program/cli/expect/mod.rs
+++ b/src/program/cli/expect/mod.rs
@@ -1,4 +1,4 @@
-//! `birchspur expect`: tries routing expectations against a configuration, without traffic.
+//! `birchspur expect`: tries routing expectations against a configuration, without sending traffic.
 
 mod against;
 mod mutate;
@@ -20,33 +20,33 @@
     documents: Vec<PathBuf>,
     #[command(flatten)]
     site: SiteArguments,
-    /// Only expectations whose names contain this
+    /// Try only expectations whose names contain this text
     #[arg(long, value_name = "TEXT")]
     filter: Option<String>,
     /// The form of the report on standard output
     #[arg(long, value_enum, default_value_t = Form::Text)]
     format: Form,
-    /// How many threads; as many as there are cores if it is not given. No verdict depends on it
+    /// Number of threads; by default one for each core. The verdicts don't depend on it
     #[arg(long, value_name = "N", value_parser = clap::value_parser!(u16).range(1..=1024))]
     threads: Option<u16>,
-    /// Compare with the configuration and servers of this folder (config.json and servers/): which verdicts
-    /// changed and by which line, and where requests move
+    /// Compare with the configuration and servers of this directory (config.json and servers/): print which
+    /// verdicts changed and because of which line, and where requests move
     #[arg(long, value_name = "DIR", conflicts_with = "mutate")]
     against: Option<PathBuf>,
-    /// Break the configuration on purpose, one thing at a time, and name what no expectation notices
+    /// Change the configuration for the worse, one thing at a time, and print which mutations no expectation notices
     #[arg(long)]
     mutate: bool,
     /// Try again whenever a document, the configuration or a file of servers changes, until interrupted
     #[arg(long)]
     watch: bool,
-    /// With --mutate: exit status 1 if a smaller part of the breakages is noticed
+    /// With --mutate: exit status 1 if a smaller share of the mutations is noticed
     #[arg(long, value_name = "PART", default_value_t = 0.0, requires = "mutate")]
     least: f64,
 }
 
-/// Tries them all; 0 if all hold, 1 if one fails, 2 if something can't be read.
+/// Runs the command. Its exit status is 0 if all expectations hold, 1 if one does not, 2 if something can't be read.
 pub(super) fn run(arguments: &Arguments) -> Verdict {
-    let once = || tried(arguments).unwrap_or_else(|verdict| verdict);
+    let once = || try_all(arguments).unwrap_or_else(|verdict| verdict);
     if !arguments.watch {
         return once();
     }
@@ -57,9 +57,10 @@
     })
 }
 
-fn tried(arguments: &Arguments) -> Result<Verdict, Verdict> {
+/// Tries the expectations once and reports the verdicts.
+fn try_all(arguments: &Arguments) -> Result<Verdict, Verdict> {
     if arguments.format != Form::Text && (arguments.against.is_some() || arguments.mutate) {
-        return Err(complain("--against and --mutate are told as text only: leave --format out"));
+        return Err(complain("--against and --mutate only report as text: omit --format"));
     }
     let new = site::read(&arguments.site.config, &arguments.site.servers)?;
     let texts = tried::texts(&arguments.documents)?;
@@ -73,20 +74,22 @@
     let verdicts = tried::judge(&new.site, &written, threads).map_err(complain)?;
     report::print_as(arguments.format, &new.site, &documents, &verdicts);
     let counts = Counts::of(&documents, &verdicts);
-    if written.is_empty() && counts.unread == 0 {
-        return Err(complain("no expectation has that in its name"));
+    if written.is_empty() && counts.unreadable == 0 {
+        return Err(complain(
+            "there are no expectations to try; if --filter is given, no name contains its text",
+        ));
     }
     let mut verdict = if counts.all_hold() { Verdict::Good } else { Verdict::Refused };
-    if let Some(folder) = &arguments.against {
-        let config = folder.join("config.json").display().to_string();
-        let old = site::read(&config, &folder.join("servers"))?;
+    if let Some(directory) = &arguments.against {
+        let config = directory.join("config.json").display().to_string();
+        let old = site::read(&config, &directory.join("servers"))?;
         let old_documents = tried::documents(&texts, &old.site, filter);
-        against::tell((&old, &old_documents), (&new, &documents), &verdicts, threads).map_err(complain)?;
+        against::report((&old, &old_documents), (&new, &documents), &verdicts, threads).map_err(complain)?;
     }
     if arguments.mutate {
         if verdict != Verdict::Good {
             return Err(complain(
-                "what fails on the configuration as it is can't tell a breakage: repair it first",
+                "an expectation that does not hold on the unchanged configuration can't detect a mutation: repair it first",
             ));
         }
         if !mutate::run(&new.site, &documents, threads, arguments.least) {
--- a/src/program/cli/expect/report.rs
+++ b/src/program/cli/expect/report.rs
@@ -1,4 +1,4 @@
-//! What came of expectations: for people, as JSON, or as JUnit.
+//! Reports the verdicts on expectations as text, JSON or JUnit XML.
 
 use quick_junit::{NonSuccessKind, Report, TestCase, TestCaseStatus, TestSuite};
 use serde_json::{Value, json};
@@ -15,27 +15,27 @@
 /// The form of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub(super) enum Form {
-    /// For people: what fails is underlined in its document
+    /// Text, in which each failed clause is underlined in its document
     Text,
-    /// JSON, with the candidates of each choice that a failure met
+    /// JSON, with the candidates of each choice that led to a failure
     Json,
-    /// JUnit XML, a suite for each document
+    /// JUnit XML, with a test suite for each document
     Junit,
 }
 
-/// How many hold, fail, stay undecided, or could not be read (a document counts once).
+/// How many expectations hold, fail or stay undecided, and how many documents can't be read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Counts {
     pub hold: usize,
     pub fail: usize,
     pub undecided: usize,
-    pub unread: usize,
+    pub unreadable: usize,
 }
 
 impl Counts {
     pub(super) fn of(documents: &[Document], verdicts: &[expect::Verdict]) -> Self {
-        let unread = documents.iter().filter(|document| document.written.is_err()).count();
-        let mut counts = Counts { unread, ..Counts::default() };
+        let unreadable = documents.iter().filter(|document| document.written.is_err()).count();
+        let mut counts = Counts { unreadable, ..Counts::default() };
         for verdict in verdicts {
             *match verdict {
                 expect::Verdict::Holds { .. } => &mut counts.hold,
@@ -47,12 +47,13 @@
     }
 
     pub(super) fn all_hold(&self) -> bool {
-        (self.fail, self.undecided, self.unread) == (0, 0, 0)
+        (self.fail, self.undecided, self.unreadable) == (0, 0, 0)
     }
 }
 
-fn clause(written: &Written, clause: usize) -> &Place {
-    written.clauses.get(clause).unwrap_or(&written.place)
+/// Returns the place of a clause, or of the whole expectation if there is no such clause.
+fn clause_place(written: &Written, clause_index: usize) -> &Place {
+    written.clauses.get(clause_index).unwrap_or(&written.place)
 }
 
 fn lines(site: &Site, choices: &[Met]) -> Option<String> {
@@ -60,49 +61,59 @@
     (!lines.is_empty()).then(|| lines.join("\n"))
 }
 
-/// Shows what an expectation met, at the place of the clause that it did not meet.
-fn tell(place: &Place, message: String, help: Option<String>, source: &Source) {
+/// Shows why an expectation does not hold, at the place of the clause that is not met.
+fn show_verdict(place: &Place, message: String, help: Option<String>, source: &Source) {
     let reason = Reason::Document { message, help };
     show(&Refusal::new(reason, place.clone()), Some(source));
 }
 
-/// For people: verdicts on standard output, what went wrong on standard error.
-pub(super) fn text(site: &Site, documents: &[Document], verdicts: &[expect::Verdict]) {
+/// Prints the verdicts on standard output, and the reasons for those that don't hold on standard error.
+pub(super) fn print_text(site: &Site, documents: &[Document], verdicts: &[expect::Verdict]) {
     let mut verdicts = verdicts.iter();
     for document in documents {
-        let written = match &document.written {
-            Ok(written) => written,
+        let expectations = match &document.written {
+            Ok(expectations) => expectations,
             Err(refusal) => {
                 show(refusal, Some(&document.source));
                 continue;
             }
         };
-        for (one, verdict) in written.iter().zip(verdicts.by_ref()) {
-            let name = &one.expectation.name;
+        for (written, verdict) in expectations.iter().zip(verdicts.by_ref()) {
+            let name = &written.expectation.name;
             match verdict {
                 expect::Verdict::Holds { seeds } => print(&format!("holds      {name} ({seeds} seeds)\n")),
-                expect::Verdict::Fails { seed, clause: at, why, choices } => {
+                expect::Verdict::Fails { seed, clause: clause_index, why, choices } => {
                     print(&format!("FAILS      {name}\n"));
                     let message = format!("{name}: seed {seed}, {why}");
-                    tell(clause(one, *at), message, lines(site, choices), &document.source);
+                    show_verdict(
+                        clause_place(written, *clause_index),
+                        message,
+                        lines(site, choices),
+                        &document.source,
+                    );
                 }
-                expect::Verdict::Undecided { clause: at, why } => {
+                expect::Verdict::Undecided { clause: clause_index, why } => {
                     print(&format!("undecided  {name}\n"));
                     let help = "widen the tolerance, or ask for more requests".to_string();
-                    tell(clause(one, *at), format!("{name}: {why}"), Some(help), &document.source);
+                    show_verdict(
+                        clause_place(written, *clause_index),
+                        format!("{name}: {why}"),
+                        Some(help),
+                        &document.source,
+                    );
                 }
             }
         }
     }
 }
 
-fn place(place: &Place) -> Value {
+fn place_json(place: &Place) -> Value {
     json!({"file": &*place.file, "line": place.line, "column": place.column})
 }
 
-fn choice(site: &Site, met: &Met) -> Value {
-    let candidate = |(rank, one): &(Option<usize>, &crate::interface::Candidate)| {
-        let cost = match one.cost {
+fn choice_json(site: &Site, met: &Met) -> Value {
+    let candidate_json = |(rank, candidate): &(Option<usize>, &crate::interface::Candidate)| {
+        let cost = match candidate.cost {
             Cost::Read { missing, load, pace, price, cost } => json!({
                 "cost_s": cost, "missing_tokens": missing, "waiting_tokens": load, "tokens_per_s": pace,
                 "price_s": price
@@ -113,57 +124,57 @@
             }),
         };
         json!({
-            "server": site.name(one.server),
-            "weight": site.servers.get(&one.server).map(|(_, entry)| entry.weight),
+            "server": site.name(candidate.server),
+            "weight": site.servers.get(&candidate.server).map(|(_, entry)| entry.weight),
             "rank": rank.map(|rank| rank + 1),
-            "class": one.tier,
-            "passed_over": one.ineligible.map(reasons::ineligible),
-            "last_resort": one.avoided.map(reasons::avoided),
+            "class": candidate.tier,
+            "passed_over": candidate.ineligible.map(reasons::ineligible),
+            "last_resort": candidate.avoided.map(reasons::avoided),
             "cost": cost,
         })
     };
-    let candidates: Vec<Value> = reasons::in_order(&met.choice).iter().map(candidate).collect();
+    let candidates: Vec<Value> = reasons::in_order(&met.choice).iter().map(candidate_json).collect();
     let role = if met.choice.reads { "reader" } else { "writer" };
     json!({"request": met.request, "after_us": met.after, "role": role, "candidates": candidates})
 }
 
-/// As JSON.
+/// Returns the report as JSON.
 pub(super) fn as_json(site: &Site, documents: &[Document], verdicts: &[expect::Verdict]) -> Value {
-    let (mut verdicts_left, mut all, mut unread) = (verdicts.iter(), Vec::new(), Vec::new());
+    let (mut verdicts_left, mut reported, mut unreadable) = (verdicts.iter(), Vec::new(), Vec::new());
     for document in documents {
         match &document.written {
             Err(refusal) => {
-                unread.push(json!({"at": place(&refusal.place), "why": refusal.reason.to_string()}))
+                unreadable.push(json!({"at": place_json(&refusal.place), "why": refusal.reason.to_string()}))
             }
-            Ok(written) => {
-                for (one, verdict) in written.iter().zip(verdicts_left.by_ref()) {
-                    let name = &one.expectation.name;
-                    all.push(match verdict {
+            Ok(expectations) => {
+                for (written, verdict) in expectations.iter().zip(verdicts_left.by_ref()) {
+                    let name = &written.expectation.name;
+                    reported.push(match verdict {
                         expect::Verdict::Holds { seeds } => {
-                            json!({"name": name, "at": place(&one.place), "verdict": "holds", "seeds": seeds})
+                            json!({"name": name, "at": place_json(&written.place), "verdict": "holds", "seeds": seeds})
                         }
-                        expect::Verdict::Fails { seed, clause: at, why, choices } => json!({
-                            "name": name, "at": place(&one.place), "verdict": "fails", "seed": seed,
-                            "clause": place(clause(one, *at)), "why": why,
-                            "choices": choices.iter().map(|met| choice(site, met)).collect::<Vec<_>>()
+                        expect::Verdict::Fails { seed, clause: clause_index, why, choices } => json!({
+                            "name": name, "at": place_json(&written.place), "verdict": "fails", "seed": seed,
+                            "clause": place_json(clause_place(written, *clause_index)), "why": why,
+                            "choices": choices.iter().map(|met| choice_json(site, met)).collect::<Vec<_>>()
                         }),
-                        expect::Verdict::Undecided { clause: at, why } => json!({
-                            "name": name, "at": place(&one.place), "verdict": "undecided",
-                            "clause": place(clause(one, *at)), "why": why
+                        expect::Verdict::Undecided { clause: clause_index, why } => json!({
+                            "name": name, "at": place_json(&written.place), "verdict": "undecided",
+                            "clause": place_json(clause_place(written, *clause_index)), "why": why
                         }),
                     });
                 }
             }
         }
     }
-    let Counts { hold, fail, undecided, unread: documents_unread } = Counts::of(documents, verdicts);
+    let Counts { hold, fail, undecided, unreadable: documents_unreadable } = Counts::of(documents, verdicts);
     json!({
-        "expectations": all, "refused": unread,
-        "counts": {"hold": hold, "fail": fail, "undecided": undecided, "documents_refused": documents_unread}
+        "expectations": reported, "refused": unreadable,
+        "counts": {"hold": hold, "fail": fail, "undecided": undecided, "documents_refused": documents_unreadable}
     })
 }
 
-/// As JUnit.
+/// Returns the report as JUnit XML.
 pub(super) fn as_junit(
     site: &Site,
     documents: &[Document],
@@ -179,25 +190,30 @@
                 status.set_message(refusal.to_string());
                 suite.add_test_case(TestCase::new("the document can be read", status));
             }
-            Ok(written) => {
-                for (one, verdict) in written.iter().zip(verdicts.by_ref()) {
+            Ok(expectations) => {
+                for (written, verdict) in expectations.iter().zip(verdicts.by_ref()) {
                     let status = match verdict {
                         expect::Verdict::Holds { .. } => TestCaseStatus::success(),
-                        expect::Verdict::Fails { seed, clause: at, why, choices } => {
+                        expect::Verdict::Fails { seed, clause: clause_index, why, choices } => {
                             let mut status = TestCaseStatus::non_success(NonSuccessKind::Failure);
-                            status.set_message(format!("{}: seed {seed}, {why}", clause(one, *at)));
+                            status.set_message(format!(
+                                "{}: seed {seed}, {why}",
+                                clause_place(written, *clause_index)
+                            ));
                             if let Some(lines) = lines(site, choices) {
                                 status.set_description(lines);
                             }
                             status
                         }
-                        expect::Verdict::Undecided { clause: at, why } => {
+                        expect::Verdict::Undecided { clause: clause_index, why } => {
                             let mut status = TestCaseStatus::non_success(NonSuccessKind::Failure);
-                            status.set_type("undecided").set_message(format!("{}: {why}", clause(one, *at)));
+                            status
+                                .set_type("undecided")
+                                .set_message(format!("{}: {why}", clause_place(written, *clause_index)));
                             status
                         }
                     };
-                    suite.add_test_case(TestCase::new(one.expectation.name.clone(), status));
+                    suite.add_test_case(TestCase::new(written.expectation.name.clone(), status));
                 }
             }
         }
@@ -206,11 +222,11 @@
     report.to_string()
 }
 
-/// Prints a report in its form.
+/// Prints the report in the given form.
 pub(super) fn print_as(form: Form, site: &Site, documents: &[Document], verdicts: &[expect::Verdict]) {
     match form {
         Form::Text => {
-            text(site, documents, verdicts);
+            print_text(site, documents, verdicts);
             let Counts { hold, undecided, .. } = Counts::of(documents, verdicts);
             let undecided =
                 if undecided > 0 { format!(" ({undecided} of them undecided)") } else { String::new() };
--- a/src/program/cli/expect/tried.rs
+++ b/src/program/cli/expect/tried.rs
@@ -1,5 +1,5 @@
-//! Tries expectations, on as many threads as there are: what comes of one depends on nothing but its own seeds, so
-//! that neither their number nor their order shows.
+//! Tries expectations on several threads. Each verdict depends only on the expectation's own seeds, so that the
+//! number of threads and the order of execution don't affect the results.
 
 use std::io::{IsTerminal, Write};
 use std::path::PathBuf;
@@ -13,55 +13,56 @@
 use crate::membership::Refusal;
 use crate::program::cli::{Verdict, complain, source};
 
-/// A document, and what it expects or why it is refused.
+/// A document, with its expectations or the reason why it is refused.
 pub(super) struct Document {
     pub source: Source,
     pub written: Result<Vec<Written>, Refusal>,
 }
 
-/// The texts of documents.
+/// Reads the texts of the documents at these paths.
 pub(super) fn texts(paths: &[PathBuf]) -> Result<Vec<Source>, Verdict> {
     paths.iter().map(|path| source(path).map_err(complain)).collect()
 }
 
-/// Reads documents against a site, and leaves what a filter wants.
+/// Parses documents against a site, and keeps the expectations whose names contain the filter.
 pub(super) fn documents(texts: &[Source], site: &Site, filter: Option<&str>) -> Vec<Document> {
-    let wanted = |one: &Written| filter.is_none_or(|part| one.expectation.name.contains(part));
+    let is_selected = |written: &Written| filter.is_none_or(|part| written.expectation.name.contains(part));
     let document = |source: &Source| {
         let written = expectations::parse(source, site);
-        let written = written.map(|all| all.into_iter().filter(wanted).collect());
+        let written = written.map(|parsed| parsed.into_iter().filter(is_selected).collect());
         Document { source: source.clone(), written }
     };
     texts.iter().map(document).collect()
 }
 
-/// All expectations of documents that could be read.
+/// Returns all expectations of the documents that could be read.
 pub(super) fn all(documents: &[Document]) -> Vec<&Written> {
     documents.iter().filter_map(|document| document.written.as_ref().ok()).flatten().collect()
 }
 
-/// Does some work for each of many, on some threads, and gives what came of it in their order.
-pub(super) fn each<T: Sync, R: Send>(
-    many: &[T],
+/// Calls `work` for each item, distributed over threads, and returns the results in the order of the items. `label`
+/// describes in the progress display what is done with an item.
+pub(super) fn map_on_threads<T: Sync, R: Send>(
+    items: &[T],
     threads: usize,
-    what: &str,
+    label: &str,
     work: impl Fn(&T) -> R + Sync,
 ) -> Vec<R> {
     let (next, done) = (AtomicUsize::new(0), AtomicUsize::new(0));
-    let results: Vec<Mutex<Option<R>>> = many.iter().map(|_| Mutex::new(None)).collect();
+    let results: Vec<Mutex<Option<R>>> = items.iter().map(|_| Mutex::new(None)).collect();
     let on_terminal = std::io::stderr().is_terminal();
     let run = || {
-        while let Some((one, result)) = {
-            let at = next.fetch_add(1, Ordering::Relaxed);
-            many.get(at).zip(results.get(at))
+        while let Some((item, result)) = {
+            let index = next.fetch_add(1, Ordering::Relaxed);
+            items.get(index).zip(results.get(index))
         } {
-            let found = work(one);
-            if let Ok(mut place) = result.lock() {
-                *place = Some(found);
+            let output = work(item);
+            if let Ok(mut slot) = result.lock() {
+                *slot = Some(output);
             }
             let count = done.fetch_add(1, Ordering::Relaxed) + 1;
             if on_terminal {
-                eprint!("\r{what} {count} of {}\x1b[K", many.len());
+                eprint!("\r{label} {count} of {}\x1b[K", items.len());
                 let _ = std::io::stderr().flush();
             }
         }
@@ -78,11 +79,13 @@
     results.into_iter().filter_map(|result| result.into_inner().ok().flatten()).collect()
 }
 
-/// What came of each expectation, in their order.
+/// Returns the verdict on each expectation, in their order.
 pub(super) fn judge(
     site: &Site,
     written: &[&Written],
     threads: usize,
 ) -> Result<Vec<expect::Verdict>, SettingsError> {
-    each(written, threads, "tried", |one| expect::judge(site, &one.expectation)).into_iter().collect()
+    map_on_threads(written, threads, "tried", |written| expect::judge(site, &written.expectation))
+        .into_iter()
+        .collect()
 }
--- a/src/program/cli/expect/watch.rs
+++ b/src/program/cli/expect/watch.rs
@@ -1,5 +1,5 @@
-//! `birchspur expect --watch`: tries again whenever a file that was read changes. Hints of the system are only a
-//! reason to read again; what was read decides whether anything has changed.
+//! `birchspur expect --watch`: tries again whenever one of the files changes. A notification of the operating
+//! system only causes the files to be read again; their content decides whether anything has changed.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -12,12 +12,12 @@
 use crate::membership::Digest;
 use crate::program::cli::{Verdict, complain};
 
-/// Hints come in bursts: so much later the files are read once for all of them.
-const GATHER: Duration = Duration::from_millis(50);
-/// Without a hint the files are read this often.
-const POLL: Duration = Duration::from_secs(1);
+/// Notifications arrive in bursts. The files are read once no further one has arrived for this time.
+const DEBOUNCE_TIME: Duration = Duration::from_millis(50);
+/// How often the files are read if there is no notification.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The digests of all files at these paths, or in them.
+/// Returns the digests of the files at these paths, and of the files in directories at these paths.
 fn contents(paths: &[PathBuf]) -> Vec<(PathBuf, Option<Digest>)> {
     let mut files = BTreeSet::new();
     for path in paths {
@@ -33,38 +33,38 @@
     files.into_iter().map(digest).collect()
 }
 
-/// Runs `work` now and after each change, for good; only what keeps it from watching ends it.
+/// Runs `work` now and after each change. Returns only if the files can't be watched.
 pub(super) fn run(paths: &[PathBuf], mut work: impl FnMut()) -> Verdict {
-    let (tell, hints) = channel();
-    let hint = move |event: notify::Result<notify::Event>| {
+    let (sender, notifications) = channel();
+    let on_event = move |event: notify::Result<notify::Event>| {
         if event.is_ok_and(|event| !event.kind.is_access()) {
-            // Nobody listens only when the program ends.
-            let _ = tell.send(());
+            // The receiver is gone only when the program ends.
+            let _ = sender.send(());
         }
     };
-    let mut watcher = match notify::recommended_watcher(hint) {
+    let mut watcher = match notify::recommended_watcher(on_event) {
         Ok(watcher) => watcher,
         Err(error) => return complain(format!("the files can't be watched: {error}")),
     };
-    // Editors put another file in the place of the old one: that shows in the folder.
-    let folder = |path: &PathBuf| match path.is_dir() {
+    // Editors replace a file by a new one, which only a watch of the directory reports.
+    let directory = |path: &PathBuf| match path.is_dir() {
         true => path.clone(),
         false => match path.parent() {
             Some(parent) if !parent.as_os_str().is_empty() => parent.to_path_buf(),
             _ => Path::new(".").to_path_buf(),
         },
     };
-    for folder in paths.iter().map(folder).collect::<BTreeSet<_>>() {
-        if let Err(error) = watcher.watch(&folder, RecursiveMode::NonRecursive) {
-            return complain(format!("{} can't be watched: {error}", folder.display()));
+    for directory in paths.iter().map(directory).collect::<BTreeSet<_>>() {
+        if let Err(error) = watcher.watch(&directory, RecursiveMode::NonRecursive) {
+            return complain(format!("{} can't be watched: {error}", directory.display()));
         }
     }
     loop {
-        let seen = contents(paths);
+        let last_contents = contents(paths);
         work();
-        while contents(paths) == seen {
-            if hints.recv_timeout(POLL).is_ok() {
-                while hints.recv_timeout(GATHER).is_ok() {}
+        while contents(paths) == last_contents {
+            if notifications.recv_timeout(POLL_INTERVAL).is_ok() {
+                while notifications.recv_timeout(DEBOUNCE_TIME).is_ok() {}
             }
         }
     }
--- a/src/program/cli/explain.rs
+++ b/src/program/cli/explain.rs
@@ -1,4 +1,4 @@
-//! `birchspur explain`: where one request would go, and what each choice for it would be made among.
+//! `birchspur explain`: prints where requests would be sent, with the candidates of each choice.
 
 use std::path::PathBuf;
 
@@ -15,23 +15,25 @@
 pub(super) struct Arguments {
     #[command(flatten)]
     site: SiteArguments,
-    /// What is given and asked, as an expectation has it: the part within `expect "..." { ... }` without `then`
+    /// The fixture and the requests, in the form of an expectation: the content of `expect "..." { ... }` without
+    /// `then`
     ///
     /// Such as 'given { zone "kisumu"; }; when { request class="ask" session="s1"; }'.
     #[arg(required_unless_present = "document")]
     text: Option<String>,
-    /// The first expectation of this document whose name contains NAME, in place of a text
+    /// The first expectation of this document whose name contains NAME, instead of a text
     #[arg(long, num_args = 2, value_names = ["FILE", "NAME"], conflicts_with = "text")]
     document: Option<Vec<PathBuf>>,
-    /// The seed of the lots that are drawn
+    /// The seed of the random numbers
     #[arg(long, default_value_t = 0)]
     seed: u64,
-    /// Only this request, by its number from 1
+    /// Print only the request of this number, counted from 1
     #[arg(long, value_name = "N")]
     request: Option<usize>,
 }
 
-fn wanted(arguments: &Arguments, site: &Site) -> Result<Expectation, Verdict> {
+/// Returns the expectation that the arguments name or contain.
+fn selected_expectation(arguments: &Arguments, site: &Site) -> Result<Expectation, Verdict> {
     let (text, name) = match (&arguments.document, &arguments.text) {
         (Some(parts), _) => match &parts[..] {
             [file, name] => (source(file).map_err(complain)?, name.display().to_string()),
@@ -39,41 +41,47 @@
         },
         (None, text) => {
             let text = text.as_deref().unwrap_or_default();
-            // Anything may come of it: what is asked is explained, not judged.
+            // The clause holds whatever happens: the requests are explained, not judged.
             let text = format!("expect \"by hand\" {{\n{text}\nthen {{ attempts at-most=1000; }}\n}}\n");
             (Source::new("by hand", text), String::new())
         }
     };
-    let all = expectations::parse(&text, site).map_err(|refusal| {
+    let parsed = expectations::parse(&text, site).map_err(|refusal| {
         show(&refusal, Some(&text));
         Verdict::Refused
     })?;
-    let mut found = all.into_iter().map(|one| one.expectation).filter(|one| one.name.contains(&name));
-    found.next().ok_or_else(|| complain(format!("no expectation has \"{name}\" in its name")))
+    let mut matching = parsed
+        .into_iter()
+        .map(|written| written.expectation)
+        .filter(|expectation| expectation.name.contains(&name));
+    matching.next().ok_or_else(|| complain(format!("no expectation has \"{name}\" in its name")))
 }
 
-fn explained(arguments: &Arguments) -> Result<Verdict, Verdict> {
-    let read = site::read(&arguments.site.config, &arguments.site.servers)?;
-    let expectation = wanted(arguments, &read.site)?;
+/// Explains the requests and returns the exit status.
+fn explain(arguments: &Arguments) -> Result<Verdict, Verdict> {
+    let sources = site::read(&arguments.site.config, &arguments.site.servers)?;
+    let expectation = selected_expectation(arguments, &sources.site)?;
     let record =
-        play(&read.site, &expectation, arguments.seed, Observation::AtEachChoice).map_err(complain)?;
+        play(&sources.site, &expectation, arguments.seed, Observation::AtEachChoice).map_err(complain)?;
     for (n, story) in record.stories.iter().enumerate() {
-        if arguments.request.is_some_and(|wanted| wanted != n + 1) {
+        if arguments.request.is_some_and(|number| number != n + 1) {
             continue;
         }
-        print(&format!("request {}: {}\n", n + 1, way(&read.site, story)));
+        print(&format!("request {}: {}\n", n + 1, way(&sources.site, story)));
         for (at, choice) in &story.choices {
             let met = Met { request: n + 1, after: at - story.came, choice: choice.clone() };
-            lines(&read.site, &met).iter().for_each(|line| print(&format!("  {line}\n")));
+            lines(&sources.site, &met).iter().for_each(|line| print(&format!("  {line}\n")));
         }
     }
-    match arguments.request.filter(|wanted| *wanted == 0 || *wanted > record.stories.len()) {
-        Some(wanted) => Err(complain(format!("there is no request {wanted}: {} come", record.stories.len()))),
+    match arguments.request.filter(|number| *number == 0 || *number > record.stories.len()) {
+        Some(number) => {
+            Err(complain(format!("there is no request {number}: there are {}", record.stories.len())))
+        }
         None => Ok(Verdict::Good),
     }
 }
 
-/// Explains one play.
+/// Runs the command.
 pub(super) fn run(arguments: &Arguments) -> Verdict {
-    explained(arguments).unwrap_or_else(|verdict| verdict)
+    explain(arguments).unwrap_or_else(|verdict| verdict)
 }
--- a/src/program/cli/log.rs
+++ b/src/program/cli/log.rs
@@ -7,7 +7,7 @@
 use crate::documents::operator::{Log, LogForm};
 use crate::program::error::ProgramError;
 
-/// Starts it. The filter was read when the document was.
+/// Starts the log. The filter has already been checked when the operator's document was parsed.
 pub(super) fn start(log: &Log) -> Result<(), ProgramError> {
     let filter = EnvFilter::try_new(&log.filter).map_err(io::Error::other)?;
     let lines = tracing_subscriber::fmt().with_env_filter(filter).with_writer(io::stderr);
--- a/src/program/cli/mod.rs
+++ b/src/program/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line: arguments, commands and exit status.
 
 mod check;
 pub(super) mod expect;
@@ -21,7 +21,7 @@
 use crate::protocol::figures;
 
 /// A conductor for disaggregated LLM serving: it sends each prompt to the reader and the writer that suit it
-/// best, and passes the answer on.
+/// best, and relays the answer.
 ///
 /// LB_CONFIG names the platform's configuration (JSON). Without a command it serves.
 #[derive(Debug, Parser)]
@@ -35,22 +35,22 @@
 enum Command {
     /// Serve clients until SIGTERM
     Serve {
-        /// The operator's document (KDL), such as deploy/operator.kdl; without it the platform's bounds hold
+        /// The operator's document (KDL), such as deploy/operator.kdl; without it the platform's limits apply
         #[arg(long, value_name = "FILE")]
         operator: Option<String>,
     },
-    /// Check every document without serving: configuration, operator's document, files of servers
+    /// Check every document without serving: configuration, operator's document, server files
     ///
-    /// Exit status: 0 if all would be taken, 1 if something would be refused, 2 if something can't be read.
+    /// Exit status: 0 if all would be accepted, 1 if something would be refused, 2 if something can't be read.
     Check {
-        /// The platform's configuration; LB_CONFIG if it is not given
+        /// The platform's configuration; by default the one that LB_CONFIG names
         #[arg(long, value_name = "FILE")]
         config: Option<String>,
         /// The operator's document
         #[arg(long, value_name = "FILE")]
         operator: Option<String>,
     },
-    /// Files of servers and weights: check, compare, seal and show them
+    /// Check, compare, seal and show the files of servers and their weights
     Servers {
         #[command(subcommand)]
         command: servers::Command,
@@ -59,19 +59,19 @@
     ///
     /// Exit status: 0 if all hold, 1 if one fails or stays undecided, 2 if something can't be read.
     Expect(expect::Arguments),
-    /// Tell where requests would go, and what each choice would be made among
+    /// Print where requests would be sent, with the candidates of each choice
     Explain(explain::Arguments),
-    /// Print the completions of a shell
+    /// Print the completion script of a shell
     Completions {
-        /// Whose
+        /// The shell
         shell: Shell,
     },
 }
 
-/// How a command ends.
+/// The result of a command, which gives its exit status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Verdict {
-    /// All is well.
+    /// Everything is valid.
     Good,
     /// Something is refused.
     Refused,
@@ -89,11 +89,11 @@
     }
 }
 
-/// Runs the program by its arguments.
+/// Runs the program according to its arguments.
 pub fn main() -> ExitCode {
     match Arguments::parse().command {
-        None => ended(serve(None)),
-        Some(Command::Serve { operator }) => ended(serve(operator.as_deref())),
+        None => exit_code(serve(None)),
+        Some(Command::Serve { operator }) => exit_code(serve(operator.as_deref())),
         Some(Command::Check { config, operator }) => {
             check::run(config.as_deref(), operator.as_deref()).into()
         }
@@ -107,7 +107,8 @@
     }
 }
 
-fn ended(result: Result<(), ProgramError>) -> ExitCode {
+/// Prints an error if there is one, and returns the exit status.
+fn exit_code(result: Result<(), ProgramError>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -122,28 +123,28 @@
     log::start(&setup.operator.log)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let name = setup.config.name.clone();
-    let counted = runtime.block_on(async {
+    let counters = runtime.block_on(async {
         let program = Program::start(setup).await?;
-        // Only now: a start that fails tells one line, and that is why.
+        // Logged only now, so that a start that fails prints nothing but its reason.
         tracing::info!(name, version = env!("CARGO_PKG_VERSION"), "started");
         program.run().await
     })?;
-    println!("{}", figures::line(&counted.all_metrics()));
+    println!("{}", figures::line(&counters.all_metrics()));
     Ok(())
 }
 
-/// Prints to standard output; a reader that has hung up is no error.
+/// Prints to standard output. A closed pipe is not an error.
 fn print(text: &str) {
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
-/// Shows a refusal with its document's line.
+/// Prints a refusal to standard error, with the line of the document that it refers to.
 fn show(refusal: &Refusal, source: Option<&Source>) {
     let text = Shown::new(refusal, source).render(std::io::stderr().is_terminal());
     let _ = std::io::stderr().write_all(text.as_bytes());
 }
 
-/// The text of a document by its path.
+/// Reads the text of the document at a path.
 fn source(path: &Path) -> Result<Source, String> {
     let name = path.display().to_string();
     match life::read(&name) {
@@ -152,12 +153,13 @@
     }
 }
 
+/// Prints an error to standard error.
 fn complain(text: impl std::fmt::Display) -> Verdict {
     eprintln!("birchspur: {text}");
     Verdict::Unreadable
 }
 
-/// The path of a file within its directory.
-fn within(directory: &Path, refusal: &Refusal) -> PathBuf {
+/// Returns the path of the file that a refusal refers to.
+fn refused_path(directory: &Path, refusal: &Refusal) -> PathBuf {
     directory.join(&*refusal.place.file)
 }
--- a/src/program/life.rs
+++ b/src/program/life.rs
@@ -34,8 +34,8 @@
 use crate::transport::peer::connector::Clients;
 use crate::transport::peer::{Dialect, PeerContext};
 
-/// The platform sends SIGKILL some time after the longest deadline of a class has passed. It counts that deadline as at
-/// least this many microseconds.
+/// The platform sends SIGKILL some time after the longest deadline of a class has passed. It counts that deadline
+/// as at least this many microseconds.
 const MIN_KILL_DEADLINE: Micros = 3_000_000;
 /// SIGKILL is sent this long after the deadline at the earliest. The program exits a little before.
 const KILL_MARGIN: Duration = Duration::from_millis(500);
