--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line, by the built program.
+//! Tests of the command line, which run the built program.
 
 mod peers;
 
@@ -59,7 +59,7 @@
     server \"w1\" address=\"10.0.0.1:3\" kind=\"writer\"\n";
 
 #[test]
-fn check_tells_the_place_and_the_remedy_and_ends_by_what_it_found() {
+fn check_prints_place_and_remedy_and_exits_by_the_result() {
     let folder = Folder::new("check");
     let config = folder.write("config.json", &config("", &[]).to_string());
     let directory = folder.path("servers");
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn what_seal_writes_is_whole_and_what_is_cut_after_it_is_refused() {
+fn sealed_file_is_accepted_and_refused_after_a_change() {
     let folder = Folder::new("seal");
     let file = folder.write("servers/a.kdl", SERVERS);
     let directory = folder.path("servers");
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn diff_tells_the_share_of_weight_that_moves() {
+fn diff_prints_the_share_of_weight_that_moves() {
     let folder = Folder::new("diff");
     fs::create_dir_all(folder.0.join("next")).expect("a folder");
     let config = folder.write("config.json", &config("", &[]).to_string());
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn help_and_completions_are_there() {
+fn help_and_completions_are_printed() {
     ends(&["--help"], 0, &["serve", "check", "servers", "LB_CONFIG"]);
     ends(&["servers", "--help"], 0, &["diff", "seal", "show"]);
     ends(&["completions", "bash"], 0, &["_birchspur"]);
@@ -138,13 +138,13 @@
     ends(&["check", "--operator", "deploy/operator.kdl"], 0, &["deploy/operator.kdl: good"]);
 }
 
-/// The program with these files; its log as it comes.
-struct Served {
+/// A running program, with the lines of its log.
+struct RunningProgram {
     child: std::process::Child,
     log: std::io::Lines<std::io::BufReader<std::process::ChildStderr>>,
 }
 
-impl Served {
+impl RunningProgram {
     fn start(config: &str, operator: &str) -> Self {
         use std::io::BufRead;
         let mut child = Command::new(env!("CARGO_BIN_EXE_birchspur"))
@@ -155,10 +155,10 @@
             .spawn()
             .expect("it starts");
         let log = std::io::BufReader::new(child.stderr.take().expect("a pipe")).lines();
-        Served { child, log }
+        RunningProgram { child, log }
     }
 
-    /// The next line of the log with these words; panics where the program ends before it.
+    /// Returns the next line of the log that contains these words; panics if the program exits before it.
     #[track_caller]
     fn says(&mut self, words: &str) -> String {
         let mut all = String::new();
@@ -173,16 +173,16 @@
     }
 }
 
-impl Drop for Served {
+impl Drop for RunningProgram {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Failure: a restart in the middle of a bad change leaves the program without servers.
+/// Guards against a restart during a bad change that leaves the program without servers.
 #[test]
-fn a_start_with_bad_files_goes_on_with_the_last_good_set_or_ends_with_the_reasons() {
+fn start_with_bad_files_uses_the_last_good_set_or_exits_with_the_reasons() {
     let folder = Folder::new("kept");
     let config = folder.write("config.json", &config("", &[]).to_string());
     let (directory, state) = (folder.path("servers"), folder.path("state"));
@@ -194,7 +194,7 @@
     ends(&["servers", "seal", &file], 0, &[]);
     ends(&["servers", "show", "--state", &state], 2, &["there is no saved set"]);
     {
-        let mut served = Served::start(&config, &operator);
+        let mut served = RunningProgram::start(&config, &operator);
         let line = served.says("servers changed");
         let event: serde_json::Value = serde_json::from_str(&line).expect("a JSON line");
         assert_eq!((&event["members"], &event["cause"]), (&3.into(), &"Files".into()), "{line}");
@@ -207,14 +207,14 @@
         ends(&["servers", "seal", &file], 0, &[]);
         served.says("servers changed");
         fs::write(&file, "servers zone=\"a\" revision=3\nsevrer \"x\"\n").expect("the file");
-        // Truncated and not written yet it may be seen and refused too.
+        // The program may also see the file after it was truncated and before it is written, and refuse it.
         let line = served.says("not taken: a.kdl:2:1: 'sevrer'");
         let event: serde_json::Value = serde_json::from_str(&line).expect("a JSON line");
         assert_eq!((&event["file.name"], &event["file.line"]), (&"a.kdl".into(), &2.into()), "{line}");
     }
     ends(&["servers", "show", "--state", &state], 0, &["generation 2", "r2", "a: revision 2, sealed"]);
     {
-        let mut served = Served::start(&config, &operator);
+        let mut served = RunningProgram::start(&config, &operator);
         let line = served.says("beginning from the set that was kept");
         assert!(line.contains("\"generation\":2") && line.contains("\"age\":\""), "{line}");
     }
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -1,4 +1,4 @@
-//! Stories of the built program: its start, its end, and what it tells of itself.
+//! Tests of the built program: start, shutdown, reload, errors and metrics.
 
 mod peers;
 
@@ -33,9 +33,9 @@
     wire.until("\r\n").await.expect("an answer")
 }
 
-/// Failure: a planned restart loses what was taken, or invites clients that it can't keep.
+/// Guards against a planned restart that loses accepted requests, or reports itself as ready while it shuts down.
 #[test]
-fn after_sigterm_what_is_open_and_what_still_comes_is_answered() {
+fn open_and_late_requests_are_answered_after_sigterm() {
     story(async {
         let (mut reader, mut writer) = (Peer::start().await, Peer::start().await);
         let mut discovery = Peer::start().await;
@@ -56,7 +56,7 @@
         let mut first = reader.next().await;
         signal(&child, "TERM").await;
         while !up(front).await.contains("503") {}
-        // For so long the front may still send new connections.
+        // The platform's front may still send new connections for this time.
         tokio::time::sleep(std::time::Duration::from_millis(400)).await;
         let mut late = Wire::connect(front).await;
         late.write(&platform_request("c2", "ask", 4000, "{}")).await;
@@ -79,9 +79,10 @@
     });
 }
 
-/// Failure: SIGHUP ends the program, or it goes on watching a discovery that the new configuration has left.
+/// Guards against SIGHUP ending the program, and against a program that goes on watching the old discovery after the
+/// new configuration has named another.
 #[test]
-fn on_sighup_the_list_is_watched_where_the_new_configuration_says() {
+fn sighup_switches_to_the_discovery_of_the_new_configuration() {
     story(async {
         let (mut old, mut new, writer) = (Peer::start().await, Peer::start().await, Peer::start().await);
         let (mut before, mut after) = (Peer::start().await, Peer::start().await);
@@ -96,7 +97,7 @@
         watch.answer("200 OK", "", &list(8, true, &servers).to_string()).await;
         watch.wire.message().await.expect("the list is taken");
         while !up(front).await.contains("200") {}
-        // Half a file is no configuration; the whole one that follows is taken without a further signal.
+        // Half a file is not a valid configuration. The complete one that follows is loaded without another signal.
         folder.write("config.json", "{\"name\":");
         signal(&child, "HUP").await;
         let mut told = BufReader::new(child.stderr.expect("a pipe")).lines();
@@ -122,7 +123,7 @@
 }
 
 #[test]
-fn a_bad_configuration_is_told_plainly() {
+fn bad_configuration_is_reported_in_one_plain_line() {
     story(async {
         let folder = Folder::new("bad");
         let good = config("127.0.0.1:1", &[]);
@@ -163,7 +164,7 @@
 }
 
 #[test]
-fn the_operators_example_can_be_used() {
+fn example_operator_document_is_valid() {
     let operator = parsed(include_str!("../deploy/operator.kdl"));
     let rpc = operator.rpc.expect("tool servers");
     assert!(rpc.settings.check().is_ok());
@@ -172,7 +173,7 @@
 }
 
 #[test]
-fn counters_go_to_graphite_collectd_and_whoever_asks() {
+fn counters_are_exported_to_graphite_collectd_and_standard_output() {
     story(async {
         let folder = Folder::new("counters");
         let graphite = TcpListener::bind("127.0.0.1:0").await.expect("a port");
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -1,5 +1,5 @@
-//! Stories of the days in service: clients that send what can't be read or keep what others need, instances
-//! whose answers are spoilt. What the words mean is in ARCHITECTURE.md.
+//! Tests of faults in everyday service: clients that send malformed requests or occupy resources that others need, and
+//! servers whose answers are malformed. The terms are explained in ARCHITECTURE.md.
 
 mod peers;
 
@@ -10,9 +10,10 @@
 use serde_json::json;
 use tokio::time::{Instant, timeout};
 
-/// Failure: clients that have asked once and stay, or never ask, use the budget up and shut others out.
+/// Guards against clients that send one request and stay connected, or send none, and so use up the connection budget
+/// and shut others out.
 #[test]
-fn connections_that_rest_make_room_for_those_that_ask() {
+fn idle_connections_are_closed_for_active_clients() {
     story(async {
         let (mut reader, mut writer) = (Peer::start().await, Peer::start().await);
         let servers = [member("s-r", &reader.address, "reader"), member("s-w", &writer.address, "writer")];
@@ -25,7 +26,7 @@
             stay.push(client);
             stay.push(Wire::connect(&conductor.front).await);
         }
-        // One that is being answered does not have to go.
+        // A connection whose answer is in progress is not closed.
         let mut open = conductor.ask("open", "ask", 4000).await;
         reader.reads().await;
         let mut seen = writer.next().await;
@@ -41,9 +42,9 @@
     });
 }
 
-/// Failure: clients that say nothing, or never end what they say, are kept for good.
+/// Guards against connections that stay open for ever though the client sends nothing, or an endless request.
 #[test]
-fn who_says_nothing_or_never_ends_is_closed_or_told_within_3_s() {
+fn silent_or_endless_client_is_closed_or_refused_within_3_s() {
     story(async {
         let (mut reader, _writer, conductor) = pair().await;
         let start = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n";
@@ -66,9 +67,9 @@
     });
 }
 
-/// Failure: a body with two lengths hides a second request, which would run unasked.
+/// Guards against request smuggling: a body with two lengths hides a second request, which would run unasked.
 #[test]
-fn a_request_with_two_lengths_is_refused_and_nothing_behind_it_is_read() {
+fn request_with_two_lengths_is_refused_and_nothing_behind_it_is_read() {
     story(async {
         let (mut reader, mut writer, conductor) = pair().await;
         let hidden = platform_request("c2", "book", 4000, "{}");
@@ -95,9 +96,9 @@
     });
 }
 
-/// Failure: a client that uses the id of another's open request gets that one's answer, or ends it.
+/// Guards against a client that uses the id of another client's open request and so receives its answer or ends it.
 #[test]
-fn an_id_that_is_open_is_refused_and_the_first_request_goes_on() {
+fn duplicate_id_is_refused_and_the_first_request_goes_on() {
     story(async {
         let (mut reader, mut writer, conductor) = pair().await;
         let mut first = conductor.ask("c1", "ask", 4000).await;
@@ -112,17 +113,17 @@
         seen.chunk("data: [DONE]\n\n").await;
         seen.end().await;
         first.until("0\r\n\r\n").await.expect("a whole answer");
-        // Once it is over the id is nobody's.
+        // Once the request has ended, the id may be used again.
         let mut again = conductor.ask("c1", "ask", 4000).await;
         reader.next().await.answer("500 No", "", "").await;
         drop(again.until("\r\n\r\n").await);
     });
 }
 
-/// Failure: a booking whose answer can't be read runs again, its client waits until its time is over, or it
-/// is given bytes that are no event.
+/// Guards against a booking with a malformed answer that runs again, leaves its client waiting until the deadline, or
+/// passes bytes to it that are not an event.
 #[test]
-fn a_stream_spoilt_before_its_first_event_is_a_failed_attempt_that_may_have_run() {
+fn stream_malformed_before_its_first_event_is_a_failed_attempt_that_may_have_run() {
     story(async {
         let (mut reader, mut writer, conductor) = pair().await;
         for (n, spoilt) in [
@@ -151,12 +152,13 @@
     });
 }
 
-/// Failure: a stream spoilt later looks whole to its client, or its connection stays open.
+/// Guards against a stream that becomes malformed after its first event and looks complete to its client, or whose
+/// connection stays open.
 #[test]
-fn a_stream_spoilt_later_ends_the_clients_connection_without_the_last_chunk() {
+fn stream_malformed_later_closes_the_client_connection_without_the_last_chunk() {
     story(async {
         let (mut reader, mut writer, conductor) = pair().await;
-        // The first two frames are swallowed by a chunk that is declared too long; then nothing comes.
+        // The chunk in `last` is declared too long: it covers its own end and the last chunk. Nothing more is sent.
         let last = "1a\r\ndata: 2\n\n\r\n0\r\n\r\n";
         let noise = format!("c0000000\r\n{}", "noise".repeat(60_000));
         for (n, spoilt) in ["-1\r\n", "4\r\ndata: 2\n\n\r\n", "noise\n", last, "ff\r\ndata: 2\n\n", &noise]
@@ -176,16 +178,16 @@
     });
 }
 
-/// Failure: what comes beside a good stream spoils it, or is taken for the answer to the next request.
+/// Guards against bytes around a valid stream that make it fail, or are taken for the answer to the next request.
 #[test]
-fn what_a_good_answer_brings_beyond_itself_is_passed_over() {
+fn bytes_around_a_valid_answer_are_ignored() {
     story(async {
         let (mut reader, mut writer, conductor) = pair().await;
         let mut client = conductor.ask("c1", "ask", 4000).await;
         reader.reads().await;
         let mut seen = writer.next().await;
         seen.wire.write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n").await;
-        // Longer than a head that has begun may take.
+        // Longer than a head may take once it has begun.
         tokio::time::sleep(Duration::from_millis(600)).await;
         seen.wire.write(&HEAD.replace("\r\n\r\n", "\r\nX-Backend-Load: TEXT \u{fe}=?,x0\r\n\r\n")).await;
         seen.chunk("data: 1\n\n: X-Backend-Load: TEXT util=many\n\n").await;
@@ -198,9 +200,9 @@
     });
 }
 
-/// Failure: on a long day, instances that were replaced are still sent to, or new ones are not.
+/// Guards against requests that are still sent to replaced instances, or not to new ones, after many replacements.
 #[test]
-fn instances_are_replaced_again_and_again_while_clients_ask_once_and_stay() {
+fn requests_follow_repeated_replacement_of_instances_while_idle_clients_stay() {
     story(async {
         let (mut reader, mut writer) = (Peer::start().await, Peer::start().await);
         let fleet = |n: u64, reader: &Peer, writer: &Peer| {
