--- a/src/protocol/figures.rs
+++ b/src/protocol/figures.rs
@@ -1,45 +1,45 @@
-//! Figures by name, and the form in which operators read them: a line `app.NAME:VALUE|KIND` for each.
+//! Metrics by name, and the text form that operators read: a line `app.NAME:VALUE|KIND` for each.
 
 use std::fmt::Write;
 
-/// How a figure moves.
+/// How a metric changes over time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// It only grows, from the start of the process.
+pub enum MetricKind {
+    /// It only grows, and starts at 0 with the process.
     Counter,
-    /// It is a level.
+    /// It is a current level, which rises and falls.
     Gauge,
 }
 
-/// One figure.
+/// One metric with its current value.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Figure {
-    /// Its name, with points between its parts.
+pub struct Metric {
+    /// Its name, whose parts are separated by points.
     pub name: String,
     /// Its value.
     pub value: u64,
-    /// How it moves.
-    pub kind: Kind,
+    /// How it changes over time.
+    pub kind: MetricKind,
 }
 
-impl Figure {
-    /// A counter.
+impl Metric {
+    /// Creates a counter.
     pub fn counter(name: impl Into<String>, value: u64) -> Self {
-        Figure { name: name.into(), value, kind: Kind::Counter }
+        Metric { name: name.into(), value, kind: MetricKind::Counter }
     }
 
-    /// A level.
+    /// Creates a gauge.
     pub fn gauge(name: impl Into<String>, value: u64) -> Self {
-        Figure { name: name.into(), value, kind: Kind::Gauge }
+        Metric { name: name.into(), value, kind: MetricKind::Gauge }
     }
 }
 
-/// The lines for operators.
-pub fn lines(figures: &[Figure]) -> String {
-    figures.iter().fold(String::new(), |mut text, Figure { name, value, kind }| {
+/// Formats the metrics for operators, one per line.
+pub fn lines(metrics: &[Metric]) -> String {
+    metrics.iter().fold(String::new(), |mut text, Metric { name, value, kind }| {
         let kind = match kind {
-            Kind::Counter => 'c',
-            Kind::Gauge => 'g',
+            MetricKind::Counter => 'c',
+            MetricKind::Gauge => 'g',
         };
         // Writing to a String can't fail.
         let _ = writeln!(text, "app.{name}:{value}|{kind}");
@@ -47,8 +47,8 @@
     })
 }
 
-/// The same in one line, as it is printed on request and at the exit.
-pub fn line(figures: &[Figure]) -> String {
-    let parts = figures.iter().map(|Figure { name, value, .. }| format!("{name} {value}"));
+/// Formats the metrics as a single line, which the program prints on request and when it exits.
+pub fn line(metrics: &[Metric]) -> String {
+    let parts = metrics.iter().map(|Metric { name, value, .. }| format!("{name} {value}"));
     parts.collect::<Vec<_>>().join(", ")
 }
--- a/src/transport/front/listener.rs
+++ b/src/transport/front/listener.rs
@@ -31,7 +31,7 @@
 
 use super::connection::{Connection, ConnectionGuard, Connections};
 use crate::protocol::framing::{Framing, framing};
-use crate::protocol::platform::MOST_BODY;
+use crate::protocol::platform::MAX_BODY_BYTES;
 use crate::recovery::{Phase, Socket};
 
 /// Size of the read buffer while a head is awaited, in bytes.
@@ -40,7 +40,7 @@
 /// connection.
 const INVALID_HEAD: &[u8] = b"-\r\n\r\n";
 /// How many bytes are read and discarded after the last answer: twice the size of the largest accepted body.
-const MAX_DISCARDED_BYTES: usize = 2 * MOST_BODY;
+const MAX_DISCARDED_BYTES: usize = 2 * MAX_BODY_BYTES;
 /// How long to wait for the client to close its side. If the connection were closed at once, bytes that the client still
 /// sends would reset it, and the client would lose what it has not read of the answer yet.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
@@ -326,7 +326,7 @@
                 self.passable = head;
                 self.reading = Reading::Rest;
             }
-            Framing::Bad => {
+            Framing::Malformed => {
                 self.pending = BytesMut::from(INVALID_HEAD);
                 self.passable = INVALID_HEAD.len();
                 self.reading = Reading::Rest;
--- a/src/transport/front/platform.rs
+++ b/src/transport/front/platform.rs
@@ -17,7 +17,7 @@
 
 use super::listener::BodyDeadline;
 use crate::interface::Micros;
-use crate::protocol::platform::{self, MOST_BODY};
+use crate::protocol::platform::{self, MAX_BODY_BYTES};
 use crate::protocol::settings::Names;
 use crate::recovery::Phase;
 use crate::routing::{Admission, PoolId};
@@ -49,10 +49,10 @@
 /// Reads a body, or returns the status that refuses it. A body whose declared length is too large is refused before it
 /// arrives, and one that is incomplete at the deadline is refused then.
 pub async fn read_body(deadline: Option<BodyDeadline>, body: axum::body::Body) -> Result<Bytes, StatusCode> {
-    if body.size_hint().lower() > MOST_BODY as u64 {
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
-    let body = Limited::new(body, MOST_BODY).collect();
+    let body = Limited::new(body, MAX_BODY_BYTES).collect();
     let read = match deadline {
         Some(BodyDeadline(deadline)) => tokio::time::timeout_at(deadline, body).await,
         None => Ok(body.await),
--- a/src/transport/front/rpc.rs
+++ b/src/transport/front/rpc.rs
@@ -93,9 +93,9 @@
         Err(error) => return reject(StatusCode::BAD_REQUEST, &Value::Null, error),
     };
     let messages = match jsonrpc::parse(&body) {
-        Ok(Post::One(Err((id, error)))) => return reject(StatusCode::BAD_REQUEST, &id, error),
-        Ok(Post::One(message)) => vec![message],
-        Ok(Post::Many(messages)) => messages,
+        Ok(Post::Single(Err((id, error)))) => return reject(StatusCode::BAD_REQUEST, &id, error),
+        Ok(Post::Single(message)) => vec![message],
+        Ok(Post::Batch(messages)) => messages,
         Err(error) => return reject(StatusCode::BAD_REQUEST, &Value::Null, error),
     };
     let (to_client, receiver) = mpsc::channel(MESSAGE_QUEUE_CAPACITY);
