--- a/benches/expectations.rs
+++ b/benches/expectations.rs
@@ -6,9 +6,9 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Instant;
 
-use milletseam::expect::model::{Kept, Which};
-use milletseam::expect::world::{Observation, play};
-use milletseam::expect::{Expectation, Given, Site, Step, Then, Verdict, judge};
+use milletseam::expect::model::{CachedText, ServerSelector};
+use milletseam::expect::world::{Observation, simulate};
+use milletseam::expect::{Expectation, Given, Site, Step, Then, Verdict, evaluate};
 use milletseam::interface::*;
 
 const EXPECTATIONS: u32 = 1_000;
@@ -43,12 +43,12 @@
     let (reader, session) = (ServerId(n * 2 % servers), SessionKey(u64::from(n)));
     let request =
         Request { session: Some(session), prompt_tokens: 3_400, max_tokens: 200, ..Request::plain() };
-    let kept = Kept { server: reader, session: Some(session), prefix: None, tokens: 3_000 };
+    let kept = CachedText { server: reader, session: Some(session), prefix: None, tokens: 3_000 };
     Expectation {
         name: n.to_string(),
-        given: Given { kept: vec![kept], ..Given::default() },
-        when: vec![Step::Requests { request, count: 1, every: 0, time_left: 5_000_000 }],
-        then: vec![Then::Reader(Which::Server(reader)), Then::Writer(Which::CellOfReader)],
+        given: Given { cached: vec![kept], ..Given::default() },
+        when: vec![Step::Requests { request, count: 1, interval: 0, time_left: 5_000_000 }],
+        then: vec![Then::Reader(ServerSelector::Server(reader)), Then::Writer(ServerSelector::CellOfReader)],
     }
 }
 
@@ -59,7 +59,7 @@
         let one = expectation(7, servers);
         let begin = Instant::now();
         for seed in 0..100 {
-            play(&site, &one, seed, Observation::AtDeeds).expect("sound settings");
+            simulate(&site, &one, seed, Observation::ActionsOnly).expect("sound settings");
         }
         let single = begin.elapsed() / 100;
         for threads in [threads.min(4), threads] {
@@ -72,7 +72,7 @@
                             if n >= EXPECTATIONS {
                                 return;
                             }
-                            let verdict = judge(&site, &expectation(n, servers)).expect("sound settings");
+                            let verdict = evaluate(&site, &expectation(n, servers)).expect("sound settings");
                             if matches!(verdict, Verdict::Holds { .. }) {
                                 held.fetch_add(1, Ordering::Relaxed);
                             }
--- a/src/documents/expectations.rs
+++ b/src/documents/expectations.rs
@@ -99,28 +99,28 @@
             match state.one_of(&states)? {
                 0 => given.draining.push(id),
                 1 => given.gone.push(id),
-                _ => given.doubted.push(id),
+                _ => given.ejected.push(id),
             }
         }
         if let Some(ago) = child.get("started")? {
-            given.fresh.insert(id, ago.micros()?);
+            given.started_ago.insert(id, ago.micros()?);
         }
         let mut behaviour = Behaviour::default();
         if let Some(slow) = child.get("slow")? {
-            behaviour.slow = slow.number_to(1e4)?;
+            behaviour.latency_factor = slow.number_to(1e4)?;
         }
         if let Some(full) = child.get("full")? {
             behaviour.full = full.flag()?;
         }
         if let Some(how) = child.get("breaks")? {
             let how = how.one_of(&[
-                ("before-last-byte", Break::BeforeLastByte),
-                ("after-last-byte", Break::AfterLastByte),
-                ("error", Break::Error),
-                ("silence", Break::Silence),
+                ("before-last-byte", FailureMode::BeforeLastByte),
+                ("after-last-byte", FailureMode::AfterLastByte),
+                ("error", FailureMode::Error),
+                ("silence", FailureMode::Silence),
             ])?;
             let times = child.get("times")?.map_or(Ok(u32::MAX), |times| times.whole())?;
-            behaviour.breaks = Some((how, times));
+            behaviour.failures = Some((how, times));
         }
         let memory = child.get("memory")?.map(|share| share.number_to(1.0)).transpose()?;
         let waiting = child.get("waiting-tokens")?.map(|tokens| tokens.number_to(1e12)).transpose()?;
@@ -147,26 +147,26 @@
         }
         let tokens = child.need("tokens")?.whole()?;
         child.end(0)?;
-        given.kept.push(Kept { server: id, session, prefix, tokens });
+        given.cached.push(CachedText { server: id, session, prefix, tokens });
     }
     for mut child in node.children(&["open"]) {
         let count = child.argument()?.whole()?;
         let id = server(site, &child.need("at")?)?;
         child.end(1)?;
-        given.open.push((id, count));
+        given.open_requests.push((id, count));
     }
     if let Some(since) = node.get("since")? {
-        given.since = since.micros()?;
+        given.elapsed = since.micros()?;
     }
     node.end(0)?;
     let cannot_be = |message: String| Err(node.refuse(message, Some("take one of the two out".into())));
-    if let Some(kept) = given.kept.iter().find(|kept| given.gone.contains(&kept.server)) {
+    if let Some(kept) = given.cached.iter().find(|kept| given.gone.contains(&kept.server)) {
         return cannot_be(format!("'{}' is gone and can't keep a text", site.name(kept.server)));
     }
-    if let Some(id) = given.fresh.keys().find(|id| given.gone.contains(id)) {
+    if let Some(id) = given.started_ago.keys().find(|id| given.gone.contains(id)) {
         return cannot_be(format!("'{}' is gone and can't have started just now", site.name(*id)));
     }
-    if let Some(kept) = given.kept.iter().find(|kept| given.fresh.contains_key(&kept.server)) {
+    if let Some(kept) = given.cached.iter().find(|kept| given.started_ago.contains_key(&kept.server)) {
         return cannot_be(format!("'{}' has started anew and keeps nothing yet", site.name(kept.server)));
     }
     Ok(given)
@@ -193,10 +193,10 @@
     }
     let deadline = site.settings.classes.get(usize::from(class.0)).map_or(0, |class| class.deadline);
     let count = node.get("count")?.map_or(Ok(1), |value| value.whole())?;
-    let every = node.get("every")?.map_or(Ok(0), |value| value.micros())?;
+    let interval = node.get("every")?.map_or(Ok(0), |value| value.micros())?;
     let time_left = node.get("time-left")?.map_or(Ok(deadline), |value| value.micros())?;
     node.end(0)?;
-    Ok(Step::Requests { request, count, every, time_left })
+    Ok(Step::Requests { request, count, interval, time_left })
 }
 
 /// A new generation in the middle: what it changes.
@@ -211,12 +211,12 @@
             ("gone", ServerState::Gone),
         ];
         let state = child.get("state")?.map(|state| state.one_of(&states)).transpose()?;
-        let started = child.get("started")?.map(|ago| ago.micros()).transpose()?;
+        let started_ago = child.get("started")?.map(|ago| ago.micros()).transpose()?;
         child.end(1)?;
-        if weight.is_none() && state.is_none() && started.is_none() {
+        if weight.is_none() && state.is_none() && started_ago.is_none() {
             return Err(child.refuse(format!("nothing changes for '{}'", site.name(id)), None));
         }
-        changes.push(Change { server: id, weight, state, started });
+        changes.push(ServerChange { server: id, weight, state, started_ago });
     }
     node.end(0)?;
     match changes.is_empty() {
@@ -247,22 +247,22 @@
     Ok(steps)
 }
 
-fn which(node: &mut Node, site: &Site) -> Result<Which, Refusal> {
+fn which(node: &mut Node, site: &Site) -> Result<ServerSelector, Refusal> {
     let mut found = Vec::new();
     if let Some(value) = node.arguments().next() {
-        found.push(Which::Server(server(site, &value)?));
+        found.push(ServerSelector::Server(server(site, &value)?));
     }
     if let Some(zone) = node.get("zone")? {
-        found.push(Which::Zone(ZoneId(named(&site.zones, "zone", &zone)?)));
+        found.push(ServerSelector::Zone(ZoneId(named(&site.zones, "zone", &zone)?)));
     }
     if let Some(cell) = node.get("cell")? {
-        found.push(Which::Cell(CellId(cell.whole()?)));
+        found.push(ServerSelector::Cell(CellId(cell.whole()?)));
     }
     if let Some(kind) = node.get("kind")? {
-        found.push(Which::Kind(KindId(named(&site.kinds, "kind", &kind)?)));
+        found.push(ServerSelector::Kind(KindId(named(&site.kinds, "kind", &kind)?)));
     }
     if let Some(same) = node.get("same-cell-as")? {
-        found.push(same.one_of(&[("reader", Which::CellOfReader)])?);
+        found.push(same.one_of(&[("reader", ServerSelector::CellOfReader)])?);
     }
     match found[..] {
         [one] => Ok(one),
@@ -306,9 +306,9 @@
                 arguments = 1;
                 let role =
                     child.need("of")?.one_of(&[("readers", Role::Reader), ("writers", Role::Writer)])?;
-                let part = child.need("part")?.number_to(1.0)?;
+                let fraction = child.need("part")?.number_to(1.0)?;
                 let tolerance = child.get("tolerance")?.map_or(Ok(0.05), |value| value.number_to(1.0))?;
-                Then::Share { role, which: which(&mut child, site)?, part, tolerance }
+                Then::Share { role, selector: which(&mut child, site)?, fraction, tolerance }
             }
             "served" => {
                 arguments = 1;
@@ -331,9 +331,9 @@
             _ => {
                 arguments = 1;
                 let server = server(site, &child.argument()?)?;
-                Then::AtMostIn {
+                Then::SendsAtMost {
                     server,
-                    most: child.need("sends")?.whole()?,
+                    max_sends: child.need("sends")?.whole()?,
                     window: child.need("in")?.micros()?,
                 }
             }
@@ -355,8 +355,8 @@
     let clash = |old: &Then| match (*old, new) {
         (Then::Reader(a) | Then::Writer(a), Then::Never(b))
         | (Then::Never(a), Then::Reader(b) | Then::Writer(b)) => a == b,
-        (Then::Reader(Which::Server(a)), Then::Reader(Which::Server(b))) => a != b,
-        (Then::Writer(Which::Server(a)), Then::Writer(Which::Server(b))) => a != b,
+        (Then::Reader(ServerSelector::Server(a)), Then::Reader(ServerSelector::Server(b))) => a != b,
+        (Then::Writer(ServerSelector::Server(a)), Then::Writer(ServerSelector::Server(b))) => a != b,
         (Then::Served(a), Then::Served(b)) | (Then::SentAgain(a), Then::SentAgain(b)) => a != b,
         (Then::Served(true), Then::Refused { .. } | Then::Failed { .. }) => true,
         (Then::Refused { .. } | Then::Failed { .. }, Then::Served(true)) => true,
--- a/src/expect/judge.rs
+++ b/src/expect/judge.rs
@@ -1,303 +1,358 @@
-//! Does an expectation hold? Decisions draw lots, so it is played for many seeds, in their order: what has to
-//! hold always is played for a fixed number of them, a share until its interval settles it.
+//! Checks whether an expectation holds. Routing decisions are random, so an expectation is simulated with many seeds,
+//! in ascending order: clauses that must always hold with a fixed number of them, a share until its confidence
+//! interval settles it.
 
 use super::model::*;
-use super::reasons::{Met, called, ms};
-use super::world::{Answer, Observation, Record, Sent, Story, play};
+use super::reasons::{ObservedChoice, format_ms, server_label};
+use super::world::{Answer, Attempt, Observation, Record, RequestTrace, simulate};
 use crate::interface::*;
 
-/// Seeds for which what must always hold is played.
+/// Number of seeds with which clauses that must always hold are checked.
 pub const SEEDS: u64 = 20;
-/// A share is looked at after this many seeds, and after twice as many each time.
-const FIRST_LOOK: u64 = 20;
-/// Seeds after which a share that its interval does not settle stays undecided: the seventh look.
-const MOST_SEEDS: u64 = 1_280;
-/// Requests in all after which the same holds.
-const MOST_REQUESTS: u64 = 100_000;
-/// Half the width of the interval in standard deviations: each of seven looks errs once in 7,000 times, so that all
-/// together err once in a thousand.
-const Z: f64 = 3.8;
+/// Number of seeds after which the interval of a share is checked first. Each further check doubles the number.
+const FIRST_CHECK_SEEDS: u64 = 20;
+/// Number of seeds after which a share that its interval has not settled is undecided. This is the seventh check.
+const MAX_SEEDS: u64 = 1_280;
+/// Number of requests, over all seeds, after which a share is undecided as well.
+const MAX_REQUESTS: u64 = 100_000;
+/// Half the width of the interval in standard deviations. Each of the seven checks errs once in 7,000 times, so all
+/// of them together err once in a thousand.
+const INTERVAL_Z_SCORE: f64 = 3.8;
 
-/// What came of an expectation.
+/// The result of checking an expectation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// It holds.
+    /// All clauses hold.
     Holds {
-        /// Plays.
+        /// Number of seeds that were simulated.
         seeds: u64,
     },
-    /// It fails.
+    /// A clause does not hold.
     Fails {
-        /// The first seed that shows it.
+        /// The seed of a simulation that shows the failure.
         seed: u64,
-        /// Which of what has to come of it, by its place in the expectation.
+        /// The index of the clause in the expectation.
         clause: usize,
-        /// What was met.
+        /// The observation that contradicts the clause.
         why: String,
-        /// The choices that led to it.
-        choices: Vec<Met>,
+        /// The choices that led to the failure.
+        choices: Vec<ObservedChoice>,
     },
-    /// A share was not settled.
+    /// The interval of a share neither confirms nor contradicts the clause.
     Undecided {
-        /// Which.
+        /// The index of the clause in the expectation.
         clause: usize,
-        /// What was met.
+        /// The counts and the interval that were reached.
         why: String,
     },
 }
 
-impl Which {
-    fn fits(self, site: &Site, server: ServerId, reader: Option<ServerId>) -> bool {
+impl ServerSelector {
+    /// Returns true if `server` is selected, for a request whose state was read at `reader`.
+    fn selects(self, site: &Site, server: ServerId, reader: Option<ServerId>) -> bool {
         let entry = |id: ServerId| site.servers.get(&id).map(|(_, entry)| entry);
-        let Some(found) = entry(server) else { return false };
+        let Some(candidate) = entry(server) else { return false };
         match self {
-            Which::Server(id) => server == id,
-            Which::Zone(zone) => found.zone == zone,
-            Which::Cell(cell) => found.cell == cell,
-            Which::Kind(kind) => found.kind == kind,
-            Which::CellOfReader => reader.and_then(entry).is_some_and(|reader| reader.cell == found.cell),
+            ServerSelector::Server(id) => server == id,
+            ServerSelector::Zone(zone) => candidate.zone == zone,
+            ServerSelector::Cell(cell) => candidate.cell == cell,
+            ServerSelector::Kind(kind) => candidate.kind == kind,
+            ServerSelector::CellOfReader => {
+                reader.and_then(entry).is_some_and(|reader| reader.cell == candidate.cell)
+            }
         }
     }
 }
 
-/// What does not meet a clause.
-struct Objection {
-    /// The request that shows it, by its number from 0.
+/// An observation that contradicts a clause.
+struct Violation {
+    /// The index of the request, if the observation concerns one.
     request: Option<usize>,
-    /// The attempt that is wrong, if it is one.
-    sent: Option<Sent>,
-    /// In words.
+    /// The attempt that contradicts the clause, if there is one.
+    attempt: Option<Attempt>,
+    /// The observation in words, for the report.
     why: String,
 }
 
-/// The whole way of a request, in words.
-pub fn way(site: &Site, story: &Story) -> String {
-    let sent = |sent: &Sent| {
-        let what = if sent.reads { "read at" } else { "written at" };
-        let outcome = sent.outcome.map_or("still out".into(), |outcome| format!("{outcome:?}"));
-        format!("{what} {} after {}: {outcome}", called(site, sent.server), ms(sent.at - story.came))
+/// Describes all attempts of a request and its answer in one line.
+pub fn describe_request(site: &Site, trace: &RequestTrace) -> String {
+    let describe = |attempt: &Attempt| {
+        let action = if attempt.reads { "read at" } else { "written at" };
+        let outcome = attempt.outcome.map_or("in progress".into(), |outcome| format!("{outcome:?}"));
+        format!(
+            "{action} {} after {}: {outcome}",
+            server_label(site, attempt.server),
+            format_ms(attempt.sent_at - trace.arrived_at)
+        )
     };
-    let mut parts: Vec<String> = story.sent.iter().map(sent).collect();
-    parts.push(match story.answer {
-        Some((at, answer)) => format!("{answer:?} after {}", ms(at - story.came)),
+    let mut parts: Vec<String> = trace.attempts.iter().map(describe).collect();
+    parts.push(match trace.answer {
+        Some((answered_at, answer)) => {
+            format!("{answer:?} after {}", format_ms(answered_at - trace.arrived_at))
+        }
         None => "no answer".into(),
     });
     parts.join("; ")
 }
 
-fn last_read(story: &Story) -> Option<ServerId> {
-    story.sent.iter().rev().find(|sent| sent.reads).map(|sent| sent.server)
+/// Returns the server of the last attempt at a reader.
+fn last_reader(trace: &RequestTrace) -> Option<ServerId> {
+    trace.attempts.iter().rev().find(|attempt| attempt.reads).map(|attempt| attempt.server)
 }
 
-/// Why a request does not meet a clause, with the attempt that is wrong; none if it does, or the clause does not
-/// speak of one request.
-fn objection(site: &Site, clause: &Then, story: &Story) -> Option<(Option<Sent>, String)> {
-    let reader = last_read(story);
-    let wrong = |sent: &Sent| (Some(*sent), format!("it went to {}", called(site, sent.server)));
-    let at_role = |which: Which, reads: bool| {
-        let mut sent = story.sent.iter().filter(|sent| sent.reads == reads).peekable();
-        match sent.peek() {
-            None => Some((None, "it went nowhere".into())),
-            Some(_) => sent.find(|sent| !which.fits(site, sent.server, reader)).map(wrong),
+/// Returns why a request contradicts a clause, with the attempt that does. Returns `None` if it doesn't, or if the
+/// clause applies to all requests together.
+fn request_violation(site: &Site, clause: &Then, trace: &RequestTrace) -> Option<(Option<Attempt>, String)> {
+    let reader = last_reader(trace);
+    let wrong_server =
+        |attempt: &Attempt| (Some(*attempt), format!("it went to {}", server_label(site, attempt.server)));
+    let outside = |selector: ServerSelector, reads: bool| {
+        let mut attempts = trace.attempts.iter().filter(|attempt| attempt.reads == reads).peekable();
+        match attempts.peek() {
+            None => Some((None, "it was sent to no server of this role".into())),
+            Some(_) => {
+                attempts.find(|attempt| !selector.selects(site, attempt.server, reader)).map(wrong_server)
+            }
         }
     };
-    let plain = |problem: Option<String>| problem.map(|problem| (None, problem));
-    let answer = story.answer.map(|(_, answer)| answer);
+    let without_attempt = |problem: Option<String>| problem.map(|problem| (None, problem));
+    let answer = trace.answer.map(|(_, answer)| answer);
     let problem = match clause {
-        Then::Reader(which) => at_role(*which, true),
-        Then::Writer(which) => at_role(*which, false),
-        Then::Never(which) => story.sent.iter().find(|sent| which.fits(site, sent.server, reader)).map(wrong),
-        Then::Served(served) => plain({
-            let is = answer == Some(Answer::Served);
-            (is != *served).then(|| if is { "it was served".into() } else { "it was not served".into() })
+        Then::Reader(selector) => outside(*selector, true),
+        Then::Writer(selector) => outside(*selector, false),
+        Then::Never(selector) => trace
+            .attempts
+            .iter()
+            .find(|attempt| selector.selects(site, attempt.server, reader))
+            .map(wrong_server),
+        Then::Served(expected) => without_attempt({
+            let served = answer == Some(Answer::Served);
+            (served != *expected)
+                .then(|| if served { "it was served".into() } else { "it was not served".into() })
         }),
-        Then::Refused { retry_within } => plain(match answer {
+        Then::Refused { retry_within } => without_attempt(match answer {
             Some(Answer::Refused(after)) => {
-                let late = retry_within.filter(|most| after.is_none_or(|after| after > *most));
-                late.map(|_| format!("it was told to come back after {}", after.map_or("?".into(), ms)))
+                let exceeded = retry_within.filter(|limit| after.is_none_or(|after| after > *limit));
+                exceeded.map(|_| {
+                    format!("it was refused with a retry delay of {}", after.map_or("?".into(), format_ms))
+                })
             }
             _ => Some("it was not refused".into()),
         }),
-        Then::Failed { may_have_run } => plain(match answer {
-            Some(Answer::Failed { may_have_run: told }) if told == *may_have_run => None,
-            Some(Answer::Failed { may_have_run: true }) => Some("it may have run".into()),
-            _ => Some("it did not fail so".into()),
+        Then::Failed { may_have_run } => without_attempt(match answer {
+            Some(Answer::Failed { may_have_run: reported }) if reported == *may_have_run => None,
+            Some(Answer::Failed { may_have_run: true }) => Some("it failed and may have run".into()),
+            _ => Some("it did not fail as expected".into()),
         }),
-        Then::AnsweredWithin(most) => plain(match story.answer {
-            Some((at, _)) if at - story.came <= *most => None,
-            Some((at, _)) => Some(format!("it was answered after {}", ms(at - story.came))),
+        Then::AnsweredWithin(limit) => without_attempt(match trace.answer {
+            Some((answered_at, _)) if answered_at - trace.arrived_at <= *limit => None,
+            Some((answered_at, _)) => {
+                Some(format!("it was answered after {}", format_ms(answered_at - trace.arrived_at)))
+            }
             None => Some("it was not answered".into()),
         }),
-        Then::AttemptsAtMost(most) => plain({
-            let count = story.sent.len();
-            (count > *most as usize).then(|| format!("it was sent {count} times"))
+        Then::AttemptsAtMost(limit) => without_attempt({
+            let count = trace.attempts.len();
+            (count > *limit as usize).then(|| format!("it was sent {count} times"))
         }),
-        Then::SentAgain(again) => plain({
-            let times = |reads: bool| story.sent.iter().filter(|sent| sent.reads == reads).count();
-            let is = times(true) > 1 || times(false) > 1;
-            (is != *again)
-                .then(|| if is { "it was sent again".into() } else { "it was not sent again".into() })
+        Then::SentAgain(expected) => without_attempt({
+            let count = |reads: bool| trace.attempts.iter().filter(|attempt| attempt.reads == reads).count();
+            let sent_again = count(true) > 1 || count(false) > 1;
+            (sent_again != *expected)
+                .then(|| if sent_again { "it was sent again".into() } else { "it was not sent again".into() })
         }),
-        Then::ReleasedWithin(most) => plain(bare(story).filter(|bare| bare > most).map(|bare| {
-            format!("what was read for it was held for {} while no attempt waited for it", ms(bare))
-        })),
-        Then::Share { .. } | Then::QuietAfterDrain(_) | Then::AtMostIn { .. } => None,
+        Then::ReleasedWithin(limit) => {
+            without_attempt(longest_unused(trace).filter(|unused| unused > limit).map(|unused| {
+                format!("its read state was held for {} while no attempt waited for it", format_ms(unused))
+            }))
+        }
+        Then::Share { .. } | Then::QuietAfterDrain(_) | Then::SendsAtMost { .. } => None,
     };
-    problem.map(|(sent, problem)| (sent, format!("{problem}; its way: {}", way(site, story))))
+    problem.map(|(attempt, problem)| {
+        (attempt, format!("{problem}; its attempts: {}", describe_request(site, trace)))
+    })
 }
 
-/// The longest time for which a state that was read lay without an attempt that waits for it; none if nothing was
-/// read. It ends with a call to let go, with the next attempt, or never.
-fn bare(story: &Story) -> Option<Micros> {
-    let read = |sent: &&Sent| sent.reads && sent.outcome == Some(Outcome::Read);
-    let first = story.sent.iter().find(read)?.ended?;
-    let fetched = |sent: &Sent| !sent.reads && sent.outcome == Some(Outcome::Served);
+/// Returns the longest time for which the read state of a request was held while no attempt waited for it; `None` if
+/// nothing was read. Such a time ends with a release, with the next attempt, or never.
+fn longest_unused(trace: &RequestTrace) -> Option<Micros> {
+    let has_read = |attempt: &&Attempt| attempt.reads && attempt.outcome == Some(Outcome::Read);
+    let first_read = trace.attempts.iter().find(has_read)?.ended_at?;
+    let fetched = |attempt: &Attempt| !attempt.reads && attempt.outcome == Some(Outcome::Served);
     let mut longest = 0;
-    for (n, sent) in story.sent.iter().enumerate() {
-        let Some(ended) = sent.ended.filter(|ended| *ended >= first && !fetched(sent)) else { continue };
-        let next = story.sent.get(n + 1).map(|next| next.at);
-        let released = story.released.iter().copied().find(|at| *at >= ended);
+    for (n, attempt) in trace.attempts.iter().enumerate() {
+        let Some(ended_at) = attempt.ended_at.filter(|ended_at| *ended_at >= first_read && !fetched(attempt))
+        else {
+            continue;
+        };
+        let next = trace.attempts.get(n + 1).map(|next| next.sent_at);
+        let released = trace.released_at.iter().copied().find(|released_at| *released_at >= ended_at);
         let until = next.into_iter().chain(released).min().unwrap_or(Micros::MAX);
-        longest = longest.max(until - ended);
+        longest = longest.max(until - ended_at);
     }
     Some(longest)
 }
 
-/// The request to which an attempt belongs.
-fn whose(record: &Record, at: Micros, server: ServerId) -> (Option<usize>, Option<Sent>) {
-    let found = record.stories.iter().enumerate().find_map(|(n, story)| {
-        let sent = story.sent.iter().find(|sent| sent.at == at && sent.server == server)?;
-        Some((n, *sent))
+/// Finds the request and the attempt that belong to a send.
+fn find_attempt(record: &Record, sent_at: Micros, server: ServerId) -> (Option<usize>, Option<Attempt>) {
+    let request_and_attempt = record.requests.iter().enumerate().find_map(|(n, trace)| {
+        let attempt =
+            trace.attempts.iter().find(|attempt| attempt.sent_at == sent_at && attempt.server == server)?;
+        Some((n, *attempt))
     });
-    found.unzip()
+    request_and_attempt.unzip()
 }
 
-/// Why a whole play does not meet a clause.
-fn objection_to_all(site: &Site, clause: &Then, record: &Record) -> Option<Objection> {
+/// Returns the first observation of a simulation that contradicts a clause.
+fn violation(site: &Site, clause: &Then, record: &Record) -> Option<Violation> {
     match clause {
-        Then::QuietAfterDrain(grace) => record.drained.iter().find_map(|(told, server)| {
-            let back =
-                record.returned.iter().filter(|(at, id)| id == server && at >= told).map(|(at, _)| *at);
-            let back = back.min().unwrap_or(Micros::MAX);
-            let late = |(at, to): &&(Micros, ServerId)| to == server && *at > told + grace && *at < back;
+        Then::QuietAfterDrain(grace) => record.drained.iter().find_map(|(drained_at, server)| {
+            let return_times =
+                record.returned.iter().filter(|(at, id)| id == server && at >= drained_at).map(|(at, _)| *at);
+            let returned_at = return_times.min().unwrap_or(Micros::MAX);
+            let late = |(at, to): &&(Micros, ServerId)| {
+                to == server && *at > drained_at + grace && *at < returned_at
+            };
             let (at, _) = record.sends.iter().find(late)?;
-            let (request, sent) = whose(record, *at, *server);
-            let name = called(site, *server);
-            let why = format!("{name} got something {} after it was told to drain", ms(at - told));
-            Some(Objection { request, sent, why })
+            let (request, attempt) = find_attempt(record, *at, *server);
+            let name = server_label(site, *server);
+            let why = format!(
+                "{name} received an attempt {} after it was marked as draining",
+                format_ms(at - drained_at)
+            );
+            Some(Violation { request, attempt, why })
         }),
-        Then::AtMostIn { server, most, window } => {
+        Then::SendsAtMost { server, max_sends, window } => {
             let times: Vec<Micros> =
                 record.sends.iter().filter(|(_, to)| to == server).map(|(at, _)| *at).collect();
-            let crowded = |from: usize| {
-                let inside = times[from..].iter().take_while(|at| **at < times[from] + window).count();
-                if inside <= *most as usize {
+            let exceeded = |first: usize| {
+                let count = times[first..].iter().take_while(|at| **at < times[first] + window).count();
+                if count <= *max_sends as usize {
                     return None;
                 }
-                let (request, sent) = whose(record, times[from], *server);
-                let why = format!("{} got {inside} within {}", called(site, *server), ms(*window));
-                Some(Objection { request, sent, why })
+                let (request, attempt) = find_attempt(record, times[first], *server);
+                let why = format!(
+                    "{} received {count} attempts within {}",
+                    server_label(site, *server),
+                    format_ms(*window)
+                );
+                Some(Violation { request, attempt, why })
             };
-            (0..times.len()).find_map(crowded)
+            (0..times.len()).find_map(exceeded)
         }
-        _ => record.stories.iter().enumerate().find_map(|(n, story)| {
-            let (sent, why) = objection(site, clause, story)?;
-            Some(Objection { request: Some(n), sent, why: format!("request {}: {why}", n + 1) })
+        _ => record.requests.iter().enumerate().find_map(|(n, trace)| {
+            let (attempt, why) = request_violation(site, clause, trace)?;
+            Some(Violation { request: Some(n), attempt, why: format!("request {}: {why}", n + 1) })
         }),
     }
 }
 
-/// The choices that led to what was met: the play is played once more, observed.
-fn choices(
+/// Returns the choices that led to a violation. The simulation is repeated with the choices recorded.
+fn responsible_choices(
     site: &Site,
     expectation: &Expectation,
     seed: u64,
     request: Option<usize>,
-    sent: Option<Sent>,
-) -> Result<Vec<Met>, SettingsError> {
+    attempt: Option<Attempt>,
+) -> Result<Vec<ObservedChoice>, SettingsError> {
     let Some(request) = request else { return Ok(Vec::new()) };
-    let record = play(site, expectation, seed, Observation::AtEachChoice)?;
-    let Some(story) = record.stories.get(request) else { return Ok(Vec::new()) };
-    let last = |reads: bool| {
-        let wanted = sent.is_none_or(|sent| sent.reads == reads);
-        let before = |at: Micros| sent.is_none_or(|sent| at <= sent.at);
-        let mut found =
-            story.choices.iter().rev().filter(|(at, choice)| choice.reads == reads && before(*at));
-        let (at, choice) = found.next().filter(|_| wanted)?;
-        Some(Met { request: request + 1, after: at - story.came, choice: choice.clone() })
+    let record = simulate(site, expectation, seed, Observation::WithChoices)?;
+    let Some(trace) = record.requests.get(request) else { return Ok(Vec::new()) };
+    let last_choice = |reads: bool| {
+        let concerned = attempt.is_none_or(|attempt| attempt.reads == reads);
+        let before_attempt = |at: Micros| attempt.is_none_or(|attempt| at <= attempt.sent_at);
+        let mut choices =
+            trace.choices.iter().rev().filter(|(at, choice)| choice.reads == reads && before_attempt(*at));
+        let (at, choice) = choices.next().filter(|_| concerned)?;
+        Some(ObservedChoice {
+            request: request + 1,
+            since_arrival: at - trace.arrived_at,
+            choice: choice.clone(),
+        })
     };
-    Ok([last(true), last(false)].into_iter().flatten().collect())
+    Ok([last_choice(true), last_choice(false)].into_iter().flatten().collect())
 }
 
-/// How many of the requests that reached a role went somewhere first, and how many reached it.
-fn count(site: &Site, role: Role, which: Which, record: &Record) -> (u64, u64) {
-    let firsts: Vec<bool> =
-        record.stories.iter().filter_map(|story| Some(first(site, role, which, story)?.1)).collect();
-    (firsts.iter().filter(|fits| **fits).count() as u64, firsts.len() as u64)
+/// Counts the requests with an attempt at a role: those whose first one went to a selected server, and all of them.
+fn count_first_attempts(site: &Site, role: Role, selector: ServerSelector, record: &Record) -> (u64, u64) {
+    let selected: Vec<bool> = record
+        .requests
+        .iter()
+        .filter_map(|trace| Some(first_attempt(site, role, selector, trace)?.1))
+        .collect();
+    (selected.iter().filter(|is_selected| **is_selected).count() as u64, selected.len() as u64)
 }
 
-/// The first attempt of a request at a role, and whether it went there.
-fn first(site: &Site, role: Role, which: Which, story: &Story) -> Option<(Sent, bool)> {
-    let sent = story.sent.iter().find(|sent| sent.reads == (role == Role::Reader))?;
-    Some((*sent, which.fits(site, sent.server, last_read(story))))
+/// Returns the first attempt of a request at a role, and whether it went to a selected server.
+fn first_attempt(
+    site: &Site,
+    role: Role,
+    selector: ServerSelector,
+    trace: &RequestTrace,
+) -> Option<(Attempt, bool)> {
+    let attempt = trace.attempts.iter().find(|attempt| attempt.reads == (role == Role::Reader))?;
+    Some((*attempt, selector.selects(site, attempt.server, last_reader(trace))))
 }
 
-/// What was counted for a share: hits and requests, seed by seed.
+/// The counts for a share: for each seed the requests that went to the selected servers, and all requests.
 #[derive(Clone, Debug, Default)]
-struct Counted(Vec<(u64, u64)>);
+struct ShareCounts(Vec<(u64, u64)>);
 
-impl Counted {
+impl ShareCounts {
     fn hits(&self) -> u64 {
         self.0.iter().map(|(hits, _)| hits).sum()
     }
 
-    fn of(&self) -> u64 {
-        self.0.iter().map(|(_, of)| of).sum()
+    fn total(&self) -> u64 {
+        self.0.iter().map(|(_, total)| total).sum()
     }
 
     fn share(&self) -> f64 {
-        self.hits() as f64 / self.of().max(1) as f64
+        self.hits() as f64 / self.total().max(1) as f64
     }
 
-    /// How many independent requests tell as much as these. Those of one seed depend on each other: where all of a
-    /// play go the same way, it tells no more than one request would. By the spread of the seeds' shares.
-    fn independent(&self) -> f64 {
-        let (share, of) = (self.share(), self.of() as f64);
-        let seeds = self.0.iter().filter(|(_, of)| *of > 0).count() as f64;
-        if of == seeds || seeds < 2.0 {
+    /// Returns the effective sample size: the number of independent requests that would give as much evidence as
+    /// these. Requests of one seed depend on each other; if all of a simulation go to the same place, they give no
+    /// more evidence than one. It is estimated from the variance of the shares of the seeds.
+    fn effective_requests(&self) -> f64 {
+        let (share, total) = (self.share(), self.total() as f64);
+        let seeds = self.0.iter().filter(|(_, total)| *total > 0).count() as f64;
+        if total == seeds || seeds < 2.0 {
             return seeds;
         }
-        let off = |(hits, of): &(u64, u64)| (*hits as f64 - share * *of as f64).powi(2);
-        let variance = self.0.iter().map(off).sum::<f64>() * seeds / (seeds - 1.0) / (of * of);
-        // Where all went one way there is no spread to go by.
+        let squared_deviation = |(hits, total): &(u64, u64)| (*hits as f64 - share * *total as f64).powi(2);
+        let variance =
+            self.0.iter().map(squared_deviation).sum::<f64>() * seeds / (seeds - 1.0) / (total * total);
+        // If all requests of all seeds agree, the variance says nothing about their dependence.
         if variance == 0.0 && (share == 0.0 || share == 1.0) {
             return seeds;
         }
-        (share * (1.0 - share) / variance.max(f64::MIN_POSITIVE)).min(of)
+        (share * (1.0 - share) / variance.max(f64::MIN_POSITIVE)).min(total)
     }
 
-    /// The interval in which the share surely lies.
+    /// Returns the confidence interval of the share.
     fn interval(&self) -> (f64, f64) {
-        interval(self.share(), self.independent())
+        wilson_interval(self.share(), self.effective_requests())
     }
 }
 
-/// The interval by Wilson for a share of so many independent requests.
-fn interval(share: f64, of: f64) -> (f64, f64) {
-    let (n, square) = (of.max(1.0), Z * Z);
-    let middle = (share + square / (2.0 * n)) / (1.0 + square / n);
-    let half = Z / (1.0 + square / n) * (share * (1.0 - share) / n + square / (4.0 * n * n)).sqrt();
-    (middle - half, middle + half)
+/// Returns the Wilson score interval for a share among `count` independent requests.
+fn wilson_interval(share: f64, count: f64) -> (f64, f64) {
+    let (n, z_squared) = (count.max(1.0), INTERVAL_Z_SCORE * INTERVAL_Z_SCORE);
+    let centre = (share + z_squared / (2.0 * n)) / (1.0 + z_squared / n);
+    let half_width = INTERVAL_Z_SCORE / (1.0 + z_squared / n)
+        * (share * (1.0 - share) / n + z_squared / (4.0 * n * n)).sqrt();
+    (centre - half_width, centre + half_width)
 }
 
-/// Plays an expectation until it is settled.
-pub fn judge(site: &Site, expectation: &Expectation) -> Result<Verdict, SettingsError> {
-    let verdict = judge_while(site, expectation, &|| true)?;
-    Ok(verdict.unwrap_or(Verdict::Undecided { clause: 0, why: "it was broken off".into() }))
+/// Simulates an expectation until its verdict is settled.
+pub fn evaluate(site: &Site, expectation: &Expectation) -> Result<Verdict, SettingsError> {
+    let verdict = evaluate_while(site, expectation, &|| true)?;
+    Ok(verdict.unwrap_or(Verdict::Undecided { clause: 0, why: "the evaluation was cancelled".into() }))
 }
 
-/// The same, broken off without a verdict once `go_on` says no; it is asked before each play.
-pub fn judge_while(
+/// Like [`evaluate`], but returns `None` once `go_on` returns false. It is called before each simulation.
+pub fn evaluate_while(
     site: &Site,
     expectation: &Expectation,
     go_on: &dyn Fn() -> bool,
@@ -307,10 +362,10 @@
         if !go_on() {
             return Ok(None);
         }
-        let record = play(site, expectation, seed, Observation::AtDeeds)?;
+        let record = simulate(site, expectation, seed, Observation::ActionsOnly)?;
         for (clause, then) in expectation.then.iter().enumerate() {
-            if let Some(Objection { request, sent, why }) = objection_to_all(site, then, &record) {
-                let choices = choices(site, expectation, seed, request, sent)?;
+            if let Some(Violation { request, attempt, why }) = violation(site, then, &record) {
+                let choices = responsible_choices(site, expectation, seed, request, attempt)?;
                 return Ok(Some(Verdict::Fails { seed, clause, why, choices }));
             }
         }
@@ -318,47 +373,48 @@
     }
     let mut seeds = SEEDS;
     for (clause, then) in expectation.then.iter().enumerate() {
-        let Then::Share { role, which, part, tolerance } = then else { continue };
-        let (mut counted, mut look) = (Counted::default(), FIRST_LOOK);
+        let Then::Share { role, selector, fraction, tolerance } = then else { continue };
+        let (mut counts, mut check_at) = (ShareCounts::default(), FIRST_CHECK_SEEDS);
         loop {
-            while (counted.0.len() as u64) < look {
+            while (counts.0.len() as u64) < check_at {
                 if !go_on() {
                     return Ok(None);
                 }
-                let seed = counted.0.len();
+                let seed = counts.0.len();
                 if seed >= records.len() {
-                    records.push(play(site, expectation, seed as u64, Observation::AtDeeds)?);
+                    records.push(simulate(site, expectation, seed as u64, Observation::ActionsOnly)?);
                 }
-                counted.0.push(count(site, *role, *which, &records[seed]));
+                counts.0.push(count_first_attempts(site, *role, *selector, &records[seed]));
             }
-            let (least, most) = counted.interval();
+            let (low, high) = counts.interval();
             let why = || {
-                let (hits, of, share) = (counted.hits(), counted.of(), counted.share());
+                let (hits, total, share) = (counts.hits(), counts.total(), counts.share());
                 format!(
-                    "{hits} of {of} went there: {share:.3}, surely {least:.3} to {most:.3}; {part:.3} within {tolerance:.3} was expected"
+                    "{hits} of {total} went there: {share:.3}, confidence interval {low:.3} to {high:.3}; {fraction:.3} within {tolerance:.3} was expected"
                 )
             };
-            if counted.of() > 0 && least >= part - tolerance && most <= part + tolerance {
+            if counts.total() > 0 && low >= fraction - tolerance && high <= fraction + tolerance {
                 break;
-            } else if least > part + tolerance || most < part - tolerance {
-                // One that went the wrong way stands for all of them.
-                let above = least > part + tolerance;
-                let wrong = |(seed, record): (usize, &Record)| {
-                    let stories = record.stories.iter().enumerate();
-                    let first = |(n, story)| Some((n, first(site, *role, *which, story)?));
-                    let found = stories.filter_map(first).find(|(_, (_, fits))| *fits == above);
-                    found.map(|(n, (sent, _))| (seed as u64, Some(n), Some(sent)))
+            } else if low > fraction + tolerance || high < fraction - tolerance {
+                // One request that went to the wrong place serves as the example.
+                let too_many = low > fraction + tolerance;
+                let find_example = |(seed, record): (usize, &Record)| {
+                    let traces = record.requests.iter().enumerate();
+                    let first = |(n, trace)| Some((n, first_attempt(site, *role, *selector, trace)?));
+                    let example =
+                        traces.filter_map(first).find(|(_, (_, is_selected))| *is_selected == too_many);
+                    example.map(|(n, (attempt, _))| (seed as u64, Some(n), Some(attempt)))
                 };
-                let example = records.iter().enumerate().find_map(wrong);
-                let (seed, request, sent) = example.unwrap_or((0, None, None));
-                let choices = choices(site, expectation, seed, request, sent)?;
+                let example = records.iter().enumerate().find_map(find_example);
+                let (seed, request, attempt) = example.unwrap_or((0, None, None));
+                let choices = responsible_choices(site, expectation, seed, request, attempt)?;
                 return Ok(Some(Verdict::Fails { seed, clause, why: why(), choices }));
-            } else if look >= MOST_SEEDS || counted.of() >= MOST_REQUESTS || counted.of() == 0 {
+            } else if check_at >= MAX_SEEDS || counts.total() >= MAX_REQUESTS || counts.total() == 0 {
                 return Ok(Some(Verdict::Undecided { clause, why: why() }));
             }
-            look *= 2;
+            check_at *= 2;
         }
-        let seed = counted.0.len() as u64;
+        let seed = counts.0.len() as u64;
         seeds = seeds.max(seed);
     }
     Ok(Some(Verdict::Holds { seeds }))
--- a/src/expect/judge/tests.rs
+++ b/src/expect/judge/tests.rs
@@ -1,23 +1,24 @@
 use super::*;
 
 #[test]
-fn an_interval_narrows_and_holds_its_share() {
-    let (few, many) = (interval(0.75, 40.0), interval(0.75, 4_000.0));
+fn interval_contains_the_share_and_narrows_with_more_requests() {
+    let (few, many) = (wilson_interval(0.75, 40.0), wilson_interval(0.75, 4_000.0));
     assert!(few.0 < 0.75 && 0.75 < few.1 && many.0 < 0.75 && 0.75 < many.1);
     assert!(many.1 - many.0 < (few.1 - few.0) / 8.0);
-    assert!(interval(0.0, 50.0).0 >= 0.0 && interval(1.0, 50.0).1 <= 1.0 + 1e-12);
+    assert!(wilson_interval(0.0, 50.0).0 >= 0.0 && wilson_interval(1.0, 50.0).1 <= 1.0 + 1e-12);
 }
 
-/// Failure: sixty requests that all follow the first one count as sixty witnesses.
+/// Guards against counting requests of one simulation as independent when all follow the first one: the interval
+/// would be too narrow.
 #[test]
-fn requests_of_a_play_that_go_one_way_tell_as_much_as_one() {
-    let alike = Counted((0..20).map(|seed| (if seed % 2 == 0 { 60 } else { 0 }, 60)).collect());
-    assert!((alike.independent() - 20.0).abs() < 1.5, "{}", alike.independent());
-    let mixed = Counted((0..20).map(|seed| (if seed % 2 == 0 { 34 } else { 26 }, 60)).collect());
-    assert!(mixed.independent() > 900.0, "{}", mixed.independent());
-    let sure = Counted(vec![(60, 60); 20]);
-    assert_eq!(sure.independent(), 20.0);
-    assert_eq!(Counted(vec![(1, 1), (0, 1), (1, 1)]).independent(), 3.0);
+fn requests_of_a_seed_that_all_agree_count_as_one() {
+    let correlated = ShareCounts((0..20).map(|seed| (if seed % 2 == 0 { 60 } else { 0 }, 60)).collect());
+    assert!((correlated.effective_requests() - 20.0).abs() < 1.5, "{}", correlated.effective_requests());
+    let mixed = ShareCounts((0..20).map(|seed| (if seed % 2 == 0 { 34 } else { 26 }, 60)).collect());
+    assert!(mixed.effective_requests() > 900.0, "{}", mixed.effective_requests());
+    let unanimous = ShareCounts(vec![(60, 60); 20]);
+    assert_eq!(unanimous.effective_requests(), 20.0);
+    assert_eq!(ShareCounts(vec![(1, 1), (0, 1), (1, 1)]).effective_requests(), 3.0);
 }
 
 /// A site of one cell: two readers, two writers.
@@ -40,77 +41,96 @@
     }
 }
 
-fn one(class: u16) -> Step {
+fn request_step(class: u16) -> Step {
     let request =
         Request { class: ClassId(class), prompt_tokens: 2_000, max_tokens: 100, ..Request::plain() };
-    Step::Requests { request, count: 1, every: 0, time_left: 10_000_000 }
+    Step::Requests { request, count: 1, interval: 0, time_left: 10_000_000 }
 }
 
-fn verdict(given: Given, when: Vec<Step>, then: Then) -> Verdict {
+fn evaluate_clause(given: Given, when: Vec<Step>, then: Then) -> Verdict {
     let expectation = Expectation { name: "x".into(), given, when, then: vec![then] };
-    judge(&site(), &expectation).expect("sound settings")
+    evaluate(&site(), &expectation).expect("sound settings")
 }
 
-fn breaking(how: Break, times: u32) -> Given {
-    let behaviour = Behaviour { breaks: Some((how, times)), ..Behaviour::default() };
+/// An initial state in which the next `count` attempts at each writer fail.
+fn failing_writers(mode: FailureMode, count: u32) -> Given {
+    let behaviour = Behaviour { failures: Some((mode, count)), ..Behaviour::default() };
     let behaviours = [ServerId(2), ServerId(3)].map(|id| (id, behaviour)).into();
     Given { behaviours, ..Given::default() }
 }
 
 #[test]
-fn before_the_last_byte_a_booking_goes_again_and_after_it_never() {
+fn booking_is_retried_only_if_it_failed_before_the_last_byte() {
     let holds = |verdict| matches!(verdict, Verdict::Holds { .. });
-    let book = || vec![one(1)];
-    assert!(holds(verdict(breaking(Break::BeforeLastByte, 1), book(), Then::Served(true))));
+    let booking = || vec![request_step(1)];
+    assert!(holds(evaluate_clause(
+        failing_writers(FailureMode::BeforeLastByte, 1),
+        booking(),
+        Then::Served(true)
+    )));
     let failed = Then::Failed { may_have_run: true };
-    for how in [Break::AfterLastByte, Break::Error] {
-        assert!(holds(verdict(breaking(how, 1), book(), failed)), "{how:?}");
-        assert!(holds(verdict(breaking(how, 1), book(), Then::AttemptsAtMost(2))), "{how:?}");
-        assert!(holds(verdict(breaking(how, 1), vec![one(0)], Then::Served(true))), "{how:?}");
+    for mode in [FailureMode::AfterLastByte, FailureMode::Error] {
+        assert!(holds(evaluate_clause(failing_writers(mode, 1), booking(), failed)), "{mode:?}");
+        assert!(
+            holds(evaluate_clause(failing_writers(mode, 1), booking(), Then::AttemptsAtMost(2))),
+            "{mode:?}"
+        );
+        assert!(
+            holds(evaluate_clause(failing_writers(mode, 1), vec![request_step(0)], Then::Served(true))),
+            "{mode:?}"
+        );
     }
-    assert!(!holds(verdict(breaking(Break::AfterLastByte, 1), book(), Then::Served(true))));
+    assert!(!holds(evaluate_clause(
+        failing_writers(FailureMode::AfterLastByte, 1),
+        booking(),
+        Then::Served(true)
+    )));
 }
 
 #[test]
-fn a_silent_writer_costs_no_answer_and_an_answer_takes_its_time() {
-    let mut silent = breaking(Break::Silence, u32::MAX);
+fn request_is_served_despite_a_silent_writer_and_takes_its_read_time() {
+    let mut silent = failing_writers(FailureMode::Silence, u32::MAX);
     silent.behaviours.remove(&ServerId(3));
-    let served = verdict(silent.clone(), vec![one(0)], Then::Served(true));
+    let served = evaluate_clause(silent.clone(), vec![request_step(0)], Then::Served(true));
     assert!(matches!(served, Verdict::Holds { .. }), "{served:?}");
-    // 2,000 tokens are read in 100 ms.
-    let soon = verdict(silent, vec![one(0)], Then::AnsweredWithin(100_000));
-    assert!(matches!(soon, Verdict::Fails { .. }), "{soon:?}");
+    // Reading 2,000 tokens alone takes 100 ms.
+    let too_soon = evaluate_clause(silent, vec![request_step(0)], Then::AnsweredWithin(100_000));
+    assert!(matches!(too_soon, Verdict::Fails { .. }), "{too_soon:?}");
 }
 
-/// Failure: a drain in the middle is passed over, or the check of it can't fail.
+/// Guards against a drain between two bursts being ignored, and against a `quiet-after-drain` clause that can't fail.
 #[test]
-fn after_a_drain_nothing_new_goes_there_and_the_check_would_see_it() {
-    let burst = |count| match one(0) {
+fn draining_server_receives_nothing_and_a_late_send_violates_the_clause() {
+    let burst = |count| match request_step(0) {
         Step::Requests { request, time_left, .. } => {
-            Step::Requests { request, count, every: 20_000, time_left }
+            Step::Requests { request, count, interval: 20_000, time_left }
         }
         step => step,
     };
     let when = vec![burst(10), Step::Drain(ServerId(2)), burst(40)];
-    let quiet = verdict(Given::default(), when.clone(), Then::QuietAfterDrain(500_000));
+    let quiet = evaluate_clause(Given::default(), when.clone(), Then::QuietAfterDrain(500_000));
     assert!(matches!(quiet, Verdict::Holds { .. }), "{quiet:?}");
     let expectation = Expectation { name: "x".into(), given: Given::default(), when, then: Vec::new() };
-    let mut record = play(&site(), &expectation, 0, Observation::AtDeeds).expect("sound settings");
-    let (told, server) = record.drained[0];
-    record.sends.push((told + 600_000, server));
-    let late = objection_to_all(&site(), &Then::QuietAfterDrain(500_000), &record);
-    assert!(late.is_some_and(|late| late.why.contains("600.0 ms after it was told to drain")));
+    let mut record = simulate(&site(), &expectation, 0, Observation::ActionsOnly).expect("sound settings");
+    let (drained_at, server) = record.drained[0];
+    record.sends.push((drained_at + 600_000, server));
+    let late = violation(&site(), &Then::QuietAfterDrain(500_000), &record);
+    assert!(late.is_some_and(|late| late.why.contains("600.0 ms after it was marked as draining")));
 }
 
 #[test]
-fn a_share_between_equals_is_a_half_and_no_other() {
-    let share =
-        |part| Then::Share { role: Role::Reader, which: Which::Server(ServerId(0)), part, tolerance: 0.1 };
-    let when = || vec![one(0), Step::Pass(2_000_000), one(0)];
-    let half = verdict(Given::default(), when(), share(0.5));
+fn equal_readers_each_receive_half_of_the_requests() {
+    let share = |fraction| Then::Share {
+        role: Role::Reader,
+        selector: ServerSelector::Server(ServerId(0)),
+        fraction,
+        tolerance: 0.1,
+    };
+    let when = || vec![request_step(0), Step::Pass(2_000_000), request_step(0)];
+    let half = evaluate_clause(Given::default(), when(), share(0.5));
     assert!(matches!(half, Verdict::Holds { .. }), "{half:?}");
-    let other = verdict(Given::default(), when(), share(0.8));
-    assert!(matches!(other, Verdict::Fails { .. }), "{other:?}");
-    let edge = verdict(Given::default(), when(), share(0.6));
-    assert!(matches!(edge, Verdict::Undecided { .. }), "{edge:?}");
+    let contradicted = evaluate_clause(Given::default(), when(), share(0.8));
+    assert!(matches!(contradicted, Verdict::Fails { .. }), "{contradicted:?}");
+    let undecided = evaluate_clause(Given::default(), when(), share(0.6));
+    assert!(matches!(undecided, Verdict::Undecided { .. }), "{undecided:?}");
 }
--- a/src/expect/mod.rs
+++ b/src/expect/mod.rs
@@ -1,9 +1,10 @@
-//! Routing expectations: what operators expect of a configuration, tried in a world without I/O that holds the
-//! real core and the real module in virtual time. Nothing of a decision is written here a second time.
+//! Routing expectations: what operators expect of a configuration, checked in a simulation without I/O that runs the
+//! real core and the real module in virtual time. No routing decision is reimplemented here.
 //!
-//! [`model`] is what an expectation says, [`world`] plays it once for a seed, [`mod@judge`] plays it over seeds and
-//! tells whether it holds, fails, or can't be settled; [`reasons`] says what a choice was made among. Documents are read
-//! elsewhere.
+//! [`model`] holds the data of an expectation, [`world`] simulates it once for a seed, and [`judge`] simulates it
+//! over many seeds and returns whether it holds, fails or stays undecided. [`reasons`] explains a choice in words,
+//! [`compare`] compares two versions of a site, and [`mutate`] derives faulty sites. Documents are parsed in
+//! [`crate::documents::expectations`].
 
 pub mod compare;
 pub mod judge;
@@ -12,5 +13,5 @@
 pub mod reasons;
 pub mod world;
 
-pub use judge::{Verdict, judge, judge_while};
+pub use judge::{Verdict, evaluate, evaluate_while};
 pub use model::{Expectation, Given, Site, Step, Then};
--- a/src/expect/model.rs
+++ b/src/expect/model.rs
@@ -1,221 +1,227 @@
-//! What an expectation says, as plain data. Names are resolved when a document is read.
+//! The data model of expectations. Names are resolved to numbers when a document is read.
 
 use std::collections::BTreeMap;
 
 use crate::interface::*;
 
-/// A configuration to try expectations against: settings, and the servers of a list.
+/// A configuration to check expectations against: the settings, and the servers of a list.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// The settings of one conductor; its zone is that of the conductor that asks, unless a given says otherwise.
+    /// The settings of one conductor. Their zone is that of the conductor that routes the requests, unless
+    /// [`Given::zone`] overrides it.
     pub settings: Settings,
-    /// The data centres' names, in the order of their numbers.
+    /// The names of the data centres, indexed by [`ZoneId`].
     pub zones: Vec<String>,
-    /// The kinds' names, in the order of their numbers.
+    /// The names of the server kinds, indexed by [`KindId`].
     pub kinds: Vec<String>,
-    /// The classes' names, in the order of their numbers.
+    /// The names of the request classes, indexed by [`ClassId`].
     pub classes: Vec<String>,
-    /// The servers and their names.
+    /// The name and the entry of each server.
     pub servers: BTreeMap<ServerId, (String, ServerEntry)>,
 }
 
 impl Site {
-    /// A server's name.
+    /// Returns the name of a server, or `?` if the site has no such server.
     pub fn name(&self, id: ServerId) -> &str {
         self.servers.get(&id).map_or("?", |(name, _)| name)
     }
 
-    /// What a server can do.
+    /// Returns the role of a server, or `None` if the server or its kind is unknown.
     pub fn role(&self, id: ServerId) -> Option<Role> {
         let (_, entry) = self.servers.get(&id)?;
         self.settings.kinds.get(usize::from(entry.kind.0)).map(|kind| kind.role)
     }
 }
 
-/// How an attempt at a server breaks.
+/// How an attempt at a server fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Break {
-    /// No connection: before the last byte, so that it never ran.
+pub enum FailureMode {
+    /// The connection fails before the last byte of the request was sent, so the attempt never ran.
     BeforeLastByte,
-    /// After the last byte: it may have run.
+    /// The connection fails after the last byte of the request was sent, so the attempt may have run.
     AfterLastByte,
-    /// It answers with an error.
+    /// The server answers with an error.
     Error,
-    /// Nothing comes back until the conductor gives the attempt up.
+    /// The server sends nothing, so the attempt lasts until the conductor gives it up.
     Silence,
 }
 
-/// How a server behaves in the world.
+/// How a simulated server behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Behaviour {
-    /// Its times are this multiple of the usual.
-    pub slow: f64,
-    /// It turns away whatever comes.
+    /// Factor by which the server's processing times exceed the normal ones.
+    pub latency_factor: f64,
+    /// If true, the server rejects every request as full.
     pub full: bool,
-    /// So many of its next attempts break in this way.
-    pub breaks: Option<(Break, u32)>,
-    /// What it tells of its load when it is probed.
+    /// How the next attempts at the server fail, and how many of them.
+    pub failures: Option<(FailureMode, u32)>,
+    /// The load report with which the server answers probes.
     pub report: Option<Report>,
 }
 
 impl Default for Behaviour {
     fn default() -> Self {
-        Behaviour { slow: 1.0, full: false, breaks: None, report: None }
+        Behaviour { latency_factor: 1.0, full: false, failures: None, report: None }
     }
 }
 
-/// A text that a reader keeps.
+/// A text that a reader has in its cache when the simulation starts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Kept {
+pub struct CachedText {
     /// The reader.
     pub server: ServerId,
-    /// The session, if it is one's.
+    /// The session whose text this is, if any.
     pub session: Option<SessionKey>,
-    /// The prefix, if it is a shared one.
+    /// The shared prefix that the text is, if any.
     pub prefix: Option<PrefixKey>,
-    /// Its length in tokens.
+    /// The length of the text in tokens.
     pub tokens: u64,
 }
 
-/// How things stand when it begins.
+/// The initial state of a simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Given {
-    /// The data centre of the conductor that asks.
+    /// The data centre of the conductors, if it differs from that of the settings.
     pub zone: Option<ZoneId>,
-    /// How many conductors there are; each request goes to the next one.
+    /// Number of conductors, among which requests are distributed in turn. If `None`, a single one is simulated and
+    /// the settings keep their number of conductors.
     pub conductors: Option<u32>,
-    /// Servers that drain.
+    /// Servers that are draining.
     pub draining: Vec<ServerId>,
-    /// Servers that are gone.
+    /// Servers that have left the list.
     pub gone: Vec<ServerId>,
-    /// Servers that the conductors doubt, as they could not connect there just now.
-    pub doubted: Vec<ServerId>,
-    /// Servers that have started so long ago.
-    pub fresh: BTreeMap<ServerId, Micros>,
-    /// How servers behave.
+    /// Servers that the conductors have ejected because connecting to them has just failed.
+    pub ejected: Vec<ServerId>,
+    /// Servers whose process has started recently, and how long ago.
+    pub started_ago: BTreeMap<ServerId, Micros>,
+    /// The servers that differ from [`Behaviour::default`].
     pub behaviours: BTreeMap<ServerId, Behaviour>,
-    /// Who keeps what.
-    pub kept: Vec<Kept>,
-    /// Requests of each conductor that are open at a server: to be read there, or being written.
-    pub open: Vec<(ServerId, u32)>,
-    /// How long ago all that came about.
-    pub since: Micros,
+    /// The texts that readers have in their caches.
+    pub cached: Vec<CachedText>,
+    /// Servers at which requests are open, and how many from each conductor. A reader still has to read them; a
+    /// writer is already writing their answers.
+    pub open_requests: Vec<(ServerId, u32)>,
+    /// Time that has passed since the caches, ejections and open requests above came about.
+    pub elapsed: Micros,
 }
 
-/// What a new generation changes of a server.
+/// The changes that a new generation makes to one server. `None` leaves a value as it is.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Change {
+pub struct ServerChange {
     /// The server.
     pub server: ServerId,
-    /// Its weight from then on.
+    /// The new weight.
     pub weight: Option<f64>,
-    /// Its state from then on.
+    /// The new state.
     pub state: Option<ServerState>,
-    /// Its process has started so long before that moment.
-    pub started: Option<Micros>,
+    /// How long before the new generation the server's process started.
+    pub started_ago: Option<Micros>,
 }
 
-/// What happens, one after the other.
+/// One step of an expectation. Steps are executed in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Requests come, so many, with this time between two.
+    /// A burst of equal requests arrives at a constant interval.
     Requests {
-        /// The request; sessions of a burst are told apart unless it names one.
+        /// The request. Unless it names a session, each request of the burst gets a session of its own.
         request: Request,
-        /// How many.
+        /// Number of requests.
         count: u32,
-        /// Time between two.
-        every: Micros,
-        /// How long each client waits.
+        /// Time between two requests.
+        interval: Micros,
+        /// How long the client of each request waits for an answer.
         time_left: Micros,
     },
     /// Time passes.
     Pass(Micros),
-    /// The list says that a server drains.
+    /// The list marks a server as draining.
     Drain(ServerId),
-    /// The list says that a server takes work again.
+    /// The list marks a server as ready again.
     Return(ServerId),
-    /// A new generation of servers: weights and states that change in it.
-    Generation(Vec<Change>),
+    /// A new generation of the server list takes effect, with these changes.
+    Generation(Vec<ServerChange>),
 }
 
-/// Which servers are meant.
+/// Selects servers of a site.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Which {
-    /// This one.
+pub enum ServerSelector {
+    /// This server.
     Server(ServerId),
-    /// Those of a data centre.
+    /// The servers of a data centre.
     Zone(ZoneId),
-    /// Those of a cell.
+    /// The servers of a cell.
     Cell(CellId),
-    /// Those of a kind.
+    /// The servers of a kind.
     Kind(KindId),
-    /// Those of the cell of the request's reader.
+    /// The servers in the same cell as the reader of the request.
     CellOfReader,
 }
 
-/// What has to come of it, for each request unless it speaks of all.
+/// A clause: what has to be true of a simulation. A clause applies to each request by itself unless it says
+/// otherwise.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Then {
-    /// It is read there.
-    Reader(Which),
-    /// It is written there.
-    Writer(Which),
-    /// Nothing is sent there.
-    Never(Which),
-    /// Of all requests that reached the role, this part went there first.
+    /// Each read of the request goes to one of these servers.
+    Reader(ServerSelector),
+    /// Each write of the request goes to one of these servers.
+    Writer(ServerSelector),
+    /// No attempt goes to any of these servers.
+    Never(ServerSelector),
+    /// Of all requests with an attempt at this role, a given fraction has its first one at these servers.
     Share {
-        /// Readers or writers.
+        /// The role whose attempts are counted.
         role: Role,
-        /// Where.
-        which: Which,
-        /// The part, from 0 to 1.
-        part: f64,
-        /// It may be off by so much.
+        /// The servers whose fraction is checked.
+        selector: ServerSelector,
+        /// The expected fraction, from 0 to 1.
+        fraction: f64,
+        /// The permitted deviation from the fraction.
         tolerance: f64,
     },
-    /// It is served, or not.
+    /// The request is served, or is not served.
     Served(bool),
-    /// It is refused, and told to come back within this.
+    /// The request is refused.
     Refused {
-        /// The latest that the client may be told to come back.
+        /// The longest retry delay that the refusal may name. If `None`, any delay is accepted, also none.
         retry_within: Option<Micros>,
     },
-    /// It fails, and is told that it may have run, or not.
+    /// The request fails.
     Failed {
-        /// It may have run.
+        /// Whether the failure has to state that the request may have run.
         may_have_run: bool,
     },
-    /// It has its answer within this; of a stream, its first token.
+    /// The request is answered within this time; a streamed answer counts as given at its first token.
     AnsweredWithin(Micros),
-    /// It is sent at most so many times.
+    /// The request is sent at most this many times.
     AttemptsAtMost(u32),
-    /// It is sent a second time to servers of one role, or never.
+    /// The request is sent more than once to servers of one role, or is not.
     SentAgain(bool),
-    /// A state that was read and that no attempt waits for is let go of within this.
+    /// Once no attempt waits for the read state of the request, it is released within this time.
     ReleasedWithin(Micros),
-    /// After the list has said that a server drains, nothing new goes there later than this.
+    /// A clause over all requests: once the list has marked a server as draining, nothing is sent to it after this
+    /// time, until it is ready again.
     QuietAfterDrain(Micros),
-    /// In any window of the rules' length all conductors together send a server at most so many.
-    AtMostIn {
+    /// A clause over all requests: within any window of the given length, all conductors together send a server at
+    /// most this many attempts.
+    SendsAtMost {
         /// The server.
         server: ServerId,
-        /// How many.
-        most: u32,
-        /// The window.
+        /// The highest permitted number of attempts.
+        max_sends: u32,
+        /// The length of the window.
         window: Micros,
     },
 }
 
-/// One expectation.
+/// An expectation: from an initial state, certain steps lead to a certain outcome.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Expectation {
-    /// What it is called.
+    /// The name of the expectation.
     pub name: String,
-    /// How things stand.
+    /// The initial state.
     pub given: Given,
-    /// What happens.
+    /// The steps, in order.
     pub when: Vec<Step>,
-    /// What has to come of it.
+    /// The clauses, all of which have to hold.
     pub then: Vec<Then>,
 }
--- a/src/expect/mutate.rs
+++ b/src/expect/mutate.rs
@@ -1,48 +1,48 @@
-//! Breaks a site on purpose, one thing at a time: a document of expectations that notices few of the breakages
-//! guards little.
+//! Mutation testing of expectations: derives sites with one deliberate fault each. A document of expectations that
+//! notices few of them protects little.
 
 use super::model::Site;
-use super::reasons::called;
+use super::reasons::server_label;
 use crate::interface::*;
 
-/// A site with one thing broken.
+/// A site with one deliberate fault.
 #[derive(Clone, Debug)]
 pub struct Mutation {
-    /// What was broken, in words.
-    pub what: String,
-    /// The broken site.
+    /// The fault in words.
+    pub description: String,
+    /// The site with the fault.
     pub site: Site,
 }
 
-/// All breakages of a site, in an order that depends on the site alone.
+/// Returns all mutations of a site, in an order that depends on the site alone.
 pub fn mutations(site: &Site) -> Vec<Mutation> {
     let mut all = Vec::new();
     for (id, (_, entry)) in &site.servers {
-        let name = called(site, *id);
-        all.extend(of_server(site, entry).into_iter().map(|(what, entry)| {
+        let name = server_label(site, *id);
+        all.extend(server_mutations(site, entry).into_iter().map(|(description, entry)| {
             let mut site = site.clone();
-            if let Some((_, held)) = site.servers.get_mut(id) {
-                *held = entry;
+            if let Some((_, current)) = site.servers.get_mut(id) {
+                *current = entry;
             }
-            Mutation { what: format!("{name}: {what}"), site }
+            Mutation { description: format!("{name}: {description}"), site }
         }));
     }
     for (n, class) in site.settings.classes.iter().enumerate() {
         let name = site.classes.get(n).map_or("?", String::as_str);
-        all.extend(of_class(class).into_iter().map(|(what, class)| {
+        all.extend(class_mutations(class).into_iter().map(|(description, class)| {
             let mut site = site.clone();
             site.settings.classes[n] = class;
-            Mutation { what: format!("class {name}: {what}"), site }
+            Mutation { description: format!("class {name}: {description}"), site }
         }));
     }
-    all.extend(of_settings(&site.settings).into_iter().map(|(what, settings)| {
+    all.extend(settings_mutations(&site.settings).into_iter().map(|(description, settings)| {
         let site = Site { settings, ..site.clone() };
-        Mutation { what: what.into(), site }
+        Mutation { description: description.into(), site }
     }));
     all
 }
 
-fn of_server(site: &Site, entry: &ServerEntry) -> Vec<(String, ServerEntry)> {
+fn server_mutations(site: &Site, entry: &ServerEntry) -> Vec<(String, ServerEntry)> {
     let role = |kind: KindId| site.settings.kinds.get(usize::from(kind.0)).map(|kind| kind.role);
     let mut all = Vec::new();
     if entry.weight > 0.0 {
@@ -57,33 +57,33 @@
         let name = site.kinds.get(usize::from(kind.0)).map_or("?", String::as_str);
         all.push((format!("its kind {name}"), ServerEntry { kind, ..*entry }));
     }
-    let others = || site.servers.values().map(|(_, other)| other);
-    let alone = others().map(|other| other.cell.0).max().unwrap_or(0) + 1;
-    all.push((format!("in cell {alone}, alone"), ServerEntry { cell: CellId(alone), ..*entry }));
-    if let Some(other) = others().find(|other| other.zone != entry.zone) {
+    let entries = || site.servers.values().map(|(_, other)| other);
+    let unused_cell = entries().map(|other| other.cell.0).max().unwrap_or(0) + 1;
+    all.push((format!("in cell {unused_cell}, alone"), ServerEntry { cell: CellId(unused_cell), ..*entry }));
+    if let Some(other) = entries().find(|other| other.zone != entry.zone) {
         let zone = site.zones.get(usize::from(other.zone.0)).map_or("?", String::as_str);
         all.push((format!("its zone {zone}"), ServerEntry { zone: other.zone, ..*entry }));
     }
-    if let Some(other) = others().find(|other| other.cell != entry.cell) {
+    if let Some(other) = entries().find(|other| other.cell != entry.cell) {
         let moved = ServerEntry { cell: other.cell, zone: other.zone, ..*entry };
         all.push((format!("moved to cell {} and its zone", other.cell.0), moved));
     }
     all
 }
 
-fn of_class(class: &Class) -> Vec<(&'static str, Class)> {
+fn class_mutations(class: &Class) -> Vec<(&'static str, Class)> {
     let effect = match class.effect {
         Effect::Safe => Effect::Unsafe,
         Effect::Keyed(_) | Effect::Unsafe => Effect::Safe,
     };
     vec![
-        ("what a repeat does, flipped", Class { effect, ..class.clone() }),
+        ("whether a repeat is safe, inverted", Class { effect, ..class.clone() }),
         ("its aim halved", Class { aim: class.aim / 2, ..class.clone() }),
         ("its deadline halved", Class { deadline: class.deadline / 2, ..class.clone() }),
     ]
 }
 
-fn of_settings(settings: &Settings) -> Vec<(&'static str, Settings)> {
+fn settings_mutations(settings: &Settings) -> Vec<(&'static str, Settings)> {
     let limits = settings.limits;
     let rules = settings.rules;
     let with_limits = |limits| Settings { limits, ..settings.clone() };
@@ -97,11 +97,11 @@
         ),
         ("the time to warm up halved", with_rules(Rules { warm_up: rules.warm_up / 2, ..rules })),
         (
-            "the multiple at which a cold server falls halved",
+            "the load multiple at which a cold server fails halved",
             with_rules(Rules { fall_multiple: rules.fall_multiple / 2.0, ..rules }),
         ),
         (
-            "the time to let go of a state halved",
+            "the time to release a state halved",
             with_rules(Rules { release_within: rules.release_within / 2, ..rules }),
         ),
         ("conductors halved", Settings { dispatchers: settings.dispatchers.div_ceil(2), ..settings.clone() }),
--- a/src/expect/reasons.rs
+++ b/src/expect/reasons.rs
@@ -1,24 +1,25 @@
-//! Why a choice fell as it did, for people: each candidate with its cost in parts, and why it was passed over.
+//! Explains a choice in words: each candidate with the components of its cost and, where it applies, the reason why
+//! it was passed over.
 
 use super::model::Site;
 use crate::interface::*;
 
-/// A choice that an expectation met.
+/// A choice that a simulation recorded.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Met {
-    /// The request, by its number from 1.
+pub struct ObservedChoice {
+    /// The number of the request, counted from 1.
     pub request: usize,
-    /// How long after the request had come.
-    pub after: Micros,
-    /// What was chosen among.
+    /// Time from the arrival of the request until the choice.
+    pub since_arrival: Micros,
+    /// The choice with its candidates.
     pub choice: Choice,
 }
 
-/// How many candidates are told; the others are counted.
-const TOLD: usize = 12;
+/// Number of candidates that are listed. Of the others only the number is given.
+const MAX_LISTED_CANDIDATES: usize = 12;
 
-/// A server as people know it.
-pub fn called(site: &Site, id: ServerId) -> String {
+/// Returns a server's name with its zone and cell.
+pub fn server_label(site: &Site, id: ServerId) -> String {
     match site.servers.get(&id) {
         Some((name, entry)) => {
             let zone = site.zones.get(usize::from(entry.zone.0)).map_or("?", String::as_str);
@@ -28,51 +29,54 @@
     }
 }
 
-/// A time in milliseconds.
-pub fn ms(at: Micros) -> String {
-    format!("{:.1} ms", at as f64 / 1e3)
+/// Formats a time in milliseconds.
+pub fn format_ms(time: Micros) -> String {
+    format!("{:.1} ms", time as f64 / 1e3)
 }
 
-/// Why nothing may go there, in words.
-pub fn ineligible(why: Ineligible) -> &'static str {
-    match why {
+/// Returns in words why a candidate must not be chosen.
+pub fn ineligible_reason(reason: Ineligible) -> &'static str {
+    match reason {
         Ineligible::Draining => "it drains",
         Ineligible::NoWeight => "its weight is 0",
         Ineligible::MayHaveRun => "the request may have run elsewhere and must not run twice",
-        Ineligible::ColdShare => "it is cold, and this request is not of the part that is for it",
-        Ineligible::Role => "it does not read",
-        Ineligible::Memory => "it holds more memory than the writers do on average",
-        Ineligible::LastAttempt => "one attempt is left, and after a read the answer would need another",
+        Ineligible::ColdShare => "it is cold, and this request is not in the fraction that it may receive",
+        Ineligible::Role => "it is not a reader",
+        Ineligible::Memory => "it uses more memory than the writers do on average",
+        Ineligible::LastAttempt => "only one attempt is left, and after a read the answer would need another",
     }
 }
 
-/// Why it is only a last resort, in words.
-pub fn avoided(why: Avoided) -> &'static str {
-    match why {
+/// Returns in words why a candidate is chosen only if there is no other.
+pub fn avoided_reason(reason: Avoided) -> &'static str {
+    match reason {
         Avoided::Silent => "it left a probe unanswered",
-        Avoided::Ejected => "it is in doubt after failures",
-        Avoided::Full => "it turned the like of this away as full",
+        Avoided::Ejected => "it is ejected after failures",
+        Avoided::Full => "it rejected a similar request as full",
         Avoided::Faulty => "it answers with errors",
         Avoided::FailedBefore => "an attempt of this request has failed there",
     }
 }
 
-/// A candidate's cost in parts.
-fn parts(cost: &Cost) -> String {
+/// Describes the components of a candidate's cost.
+fn describe_cost(cost: &Cost) -> String {
     match *cost {
         Cost::Read { missing, load, pace, price, cost } => {
-            let price =
-                if price > 0.0 { format!(" + {:.1} ms for the way", price * 1e3) } else { String::new() };
+            let price = if price > 0.0 {
+                format!(" + {:.1} ms for the other zone", price * 1e3)
+            } else {
+                String::new()
+            };
             format!(
                 "{:.1} ms: {missing} tokens missing, {load:.0} waiting, {pace:.0} a second{price}",
                 cost * 1e3
             )
         }
         Cost::Write { in_readers_cell, memory, wait, has_capacity, own_streams } => {
-            let place = if in_readers_cell { "in the reader's cell" } else { "in another cell" };
-            let room = if has_capacity { "room" } else { "no room" };
+            let cell = if in_readers_cell { "in the reader's cell" } else { "in another cell" };
+            let capacity = if has_capacity { "free capacity" } else { "no free capacity" };
             format!(
-                "{place}, {room}: {:.1}% of its memory held, first token after {:.1} ms, {own_streams} own streams",
+                "{cell}, {capacity}: {:.1}% of its memory used, first token after {:.1} ms, {own_streams} own streams",
                 memory * 100.0,
                 wait * 1e3
             )
@@ -80,40 +84,45 @@
     }
 }
 
-/// The candidates in their order: those that were ranked, then those that were passed over.
-pub fn in_order(choice: &Choice) -> Vec<(Option<usize>, &Candidate)> {
-    let place = |candidate: &Candidate| choice.ranked.iter().position(|id| *id == candidate.server);
-    let mut all: Vec<_> = choice.candidates.iter().map(|one| (place(one), one)).collect();
-    all.sort_by_key(|(place, one)| (place.unwrap_or(usize::MAX), one.server));
+/// Returns the candidates with their ranks: first those that were ranked, in order, then those that were passed over.
+pub fn ordered_candidates(choice: &Choice) -> Vec<(Option<usize>, &Candidate)> {
+    let rank = |candidate: &Candidate| choice.ranked.iter().position(|id| *id == candidate.server);
+    let mut all: Vec<_> = choice.candidates.iter().map(|candidate| (rank(candidate), candidate)).collect();
+    all.sort_by_key(|(rank, candidate)| (rank.unwrap_or(usize::MAX), candidate.server));
     all
 }
 
-/// A choice in lines.
-pub fn lines(site: &Site, met: &Met) -> Vec<String> {
-    let role = if met.choice.reads { "reader" } else { "writer" };
-    let mut lines =
-        vec![format!("the choice of a {role} for request {}, after {}:", met.request, ms(met.after))];
-    let all = in_order(&met.choice);
+/// Explains a choice in lines of text.
+pub fn choice_lines(site: &Site, observed: &ObservedChoice) -> Vec<String> {
+    let role = if observed.choice.reads { "reader" } else { "writer" };
+    let mut lines = vec![format!(
+        "the choice of a {role} for request {}, after {}:",
+        observed.request,
+        format_ms(observed.since_arrival)
+    )];
+    let all = ordered_candidates(&observed.choice);
     if all.is_empty() {
         lines.push(format!("   -  there is no {role} to choose"));
     }
-    for (place, one) in all.iter().take(TOLD) {
-        let place = place.map_or("-".into(), |place| (place + 1).to_string());
-        let weight = site.servers.get(&one.server).map_or(1.0, |(_, entry)| entry.weight);
-        let note = match (one.ineligible, one.avoided) {
-            (Some(why), _) => format!("; passed over: {}", ineligible(why)),
-            (None, Some(why)) => format!("; last resort: {}", avoided(why)),
-            (None, None) if one.tier > 0 && met.choice.reads => "; no place of this session or prefix".into(),
+    for (rank, candidate) in all.iter().take(MAX_LISTED_CANDIDATES) {
+        let rank = rank.map_or("-".into(), |rank| (rank + 1).to_string());
+        let weight = site.servers.get(&candidate.server).map_or(1.0, |(_, entry)| entry.weight);
+        let note = match (candidate.ineligible, candidate.avoided) {
+            (Some(reason), _) => format!("; passed over: {}", ineligible_reason(reason)),
+            (None, Some(reason)) => format!("; used only if there is no other: {}", avoided_reason(reason)),
+            (None, None) if candidate.tier > 0 && observed.choice.reads => {
+                "; not preferred for this session or prefix".into()
+            }
             (None, None) => String::new(),
         };
         lines.push(format!(
-            "  {place:>2}  {}, weight {weight}: {}{note}",
-            called(site, one.server),
-            parts(&one.cost)
+            "  {rank:>2}  {}, weight {weight}: {}{note}",
+            server_label(site, candidate.server),
+            describe_cost(&candidate.cost)
         ));
     }
-    if all.len() > TOLD {
-        lines.push(format!("      and {} more", all.len() - TOLD));
+    if all.len() > MAX_LISTED_CANDIDATES {
+        lines.push(format!("      and {} more", all.len() - MAX_LISTED_CANDIDATES));
     }
     lines
 }
--- a/src/program/cli/expect/against.rs
+++ b/src/program/cli/expect/against.rs
@@ -7,7 +7,7 @@
 use super::site::Read;
 use super::tried::{self, Document};
 use crate::documents::read::Source;
-use crate::expect::compare::{Flow, Part, alike, blame, flows};
+use crate::expect::compare::{Flow, SiteChange, flows, responsible_changes, same_outcome};
 use crate::expect::{self, Site};
 use crate::interface::{ServerEntry, ServerId, ServerState, SettingsError};
 use crate::program::cli::print;
@@ -91,7 +91,7 @@
 }
 
 /// The parts of a change: each server and each figure of the settings.
-fn parts(old: &Read, new: &Read) -> Vec<Part> {
+fn parts(old: &Read, new: &Read) -> Vec<SiteChange> {
     let mut parts = Vec::new();
     let ids: BTreeSet<ServerId> = old.site.servers.keys().chain(new.site.servers.keys()).copied().collect();
     for id in ids {
@@ -106,7 +106,7 @@
             site
         };
         let (alone, without) = (with(&old.site, after), with(&new.site, before));
-        parts.push(Part { what: server_change(id, old, new), alone, without });
+        parts.push(SiteChange { description: server_change(id, old, new), alone, without });
     }
     let (mut before, mut after) = (BTreeMap::new(), BTreeMap::new());
     leaves(&old.value, String::new(), &mut before);
@@ -118,7 +118,11 @@
         let (Some(alone), Some(without)) = (alone, without) else { continue };
         let at = line(&new.config, path).map_or(String::new(), |line| format!(":{line}"));
         let was = before.get(path).map_or("nothing".into(), Value::to_string);
-        parts.push(Part { what: format!("{}{at}: {path} {was} -> {leaf}", new.config.name), alone, without });
+        parts.push(SiteChange {
+            description: format!("{}{at}: {path} {was} -> {leaf}", new.config.name),
+            alone,
+            without,
+        });
     }
     parts
 }
@@ -146,8 +150,11 @@
     let mut any = false;
     for (a, b) in before.iter().zip(after) {
         let class = site.classes.get(usize::from(a.class.0)).map_or("?", String::as_str);
-        let from = site.zones.get(usize::from(a.from.0)).map_or("?", String::as_str);
-        for (what, a, b) in [("read", &a.read_in, &b.read_in), ("written", &a.written_in, &b.written_in)] {
+        let from = site.zones.get(usize::from(a.conductor_zone.0)).map_or("?", String::as_str);
+        for (what, a, b) in [
+            ("read", &a.read_fractions, &b.read_fractions),
+            ("written", &a.write_fractions, &b.write_fractions),
+        ] {
             if let Some(moves) = moves(&site.zones, a, b) {
                 any = true;
                 print(&format!("  {class} from {from}, {what} in: {moves}\n"));
@@ -168,7 +175,7 @@
 ) -> Result<(), SettingsError> {
     let parts = parts(old.0, new.0);
     print(&format!("\n{} changes against the old configuration\n", parts.len()));
-    parts.iter().for_each(|part| print(&format!("  {}\n", part.what)));
+    parts.iter().for_each(|part| print(&format!("  {}\n", part.description)));
     let before = tried::all(old.1);
     let verdicts_before = tried::judge(&old.0.site, &before, threads)?;
     print("\nverdicts that changed\n");
@@ -177,15 +184,15 @@
         let name = &one.expectation.name;
         let Some(at) = before.iter().position(|other| other.expectation.name == *name) else { continue };
         let was = &verdicts_before[at];
-        if alike(was, verdict) {
+        if same_outcome(was, verdict) {
             continue;
         }
         changed += 1;
         print(&format!("  {} -> {}: {name}\n", verdict_name(was), verdict_name(verdict)));
-        let blamed = blame(&one.expectation, was, &parts)?;
+        let blamed = responsible_changes(&one.expectation, was, &parts)?;
         match blamed[..] {
             [] => print("      by several changes together\n"),
-            _ => blamed.iter().for_each(|part| print(&format!("      by {}\n", part.what))),
+            _ => blamed.iter().for_each(|part| print(&format!("      by {}\n", part.description))),
         }
     }
     if changed == 0 {
--- a/src/program/cli/expect/mutate.rs
+++ b/src/program/cli/expect/mutate.rs
@@ -4,7 +4,7 @@
 use crate::documents::expectations;
 use crate::documents::read::Source;
 use crate::expect::mutate::{Mutation, mutations};
-use crate::expect::{Site, Verdict, judge};
+use crate::expect::{Site, Verdict, evaluate};
 use crate::program::cli::print;
 
 /// Who noticed a breakage.
@@ -26,7 +26,7 @@
     let tried =
         all.iter().map(|written| &written.expectation).filter(|one| names.contains(&one.name.as_str()));
     for expectation in tried {
-        match judge(&mutation.site, expectation) {
+        match evaluate(&mutation.site, expectation) {
             Ok(Verdict::Holds { .. }) => {}
             Ok(_) => return Noticed::By(expectation.name.clone()),
             Err(_) => return Noticed::AtLoad,
@@ -47,13 +47,13 @@
         match found {
             Noticed::By(name) => {
                 noticed += 1;
-                print(&format!("noticed    {} (by: {name})\n", mutation.what));
+                print(&format!("noticed    {} (by: {name})\n", mutation.description));
             }
             Noticed::AtLoad => {
                 noticed += 1;
-                print(&format!("noticed    {} (at load)\n", mutation.what));
+                print(&format!("noticed    {} (at load)\n", mutation.description));
             }
-            Noticed::Nobody => print(&format!("SURVIVES   {}\n", mutation.what)),
+            Noticed::Nobody => print(&format!("SURVIVES   {}\n", mutation.description)),
         }
     }
     let part = noticed as f64 / all.len().max(1) as f64;
--- a/src/program/cli/expect/report.rs
+++ b/src/program/cli/expect/report.rs
@@ -6,7 +6,7 @@
 use super::tried::Document;
 use crate::documents::expectations::Written;
 use crate::documents::read::Source;
-use crate::expect::reasons::{self, Met};
+use crate::expect::reasons::{self, ObservedChoice};
 use crate::expect::{self, Site};
 use crate::interface::Cost;
 use crate::membership::{Place, Reason, Refusal};
@@ -55,8 +55,8 @@
     written.clauses.get(clause).unwrap_or(&written.place)
 }
 
-fn lines(site: &Site, choices: &[Met]) -> Option<String> {
-    let lines: Vec<String> = choices.iter().flat_map(|met| reasons::lines(site, met)).collect();
+fn lines(site: &Site, choices: &[ObservedChoice]) -> Option<String> {
+    let lines: Vec<String> = choices.iter().flat_map(|met| reasons::choice_lines(site, met)).collect();
     (!lines.is_empty()).then(|| lines.join("\n"))
 }
 
@@ -100,7 +100,7 @@
     json!({"file": &*place.file, "line": place.line, "column": place.column})
 }
 
-fn choice(site: &Site, met: &Met) -> Value {
+fn choice(site: &Site, met: &ObservedChoice) -> Value {
     let candidate = |(rank, one): &(Option<usize>, &crate::interface::Candidate)| {
         let cost = match one.cost {
             Cost::Read { missing, load, pace, price, cost } => json!({
@@ -117,14 +117,14 @@
             "weight": site.servers.get(&one.server).map(|(_, entry)| entry.weight),
             "rank": rank.map(|rank| rank + 1),
             "class": one.tier,
-            "passed_over": one.ineligible.map(reasons::ineligible),
-            "last_resort": one.avoided.map(reasons::avoided),
+            "passed_over": one.ineligible.map(reasons::ineligible_reason),
+            "last_resort": one.avoided.map(reasons::avoided_reason),
             "cost": cost,
         })
     };
-    let candidates: Vec<Value> = reasons::in_order(&met.choice).iter().map(candidate).collect();
+    let candidates: Vec<Value> = reasons::ordered_candidates(&met.choice).iter().map(candidate).collect();
     let role = if met.choice.reads { "reader" } else { "writer" };
-    json!({"request": met.request, "after_us": met.after, "role": role, "candidates": candidates})
+    json!({"request": met.request, "after_us": met.since_arrival, "role": role, "candidates": candidates})
 }
 
 /// As JSON.
--- a/src/program/cli/expect/tried.rs
+++ b/src/program/cli/expect/tried.rs
@@ -84,5 +84,5 @@
     written: &[&Written],
     threads: usize,
 ) -> Result<Vec<expect::Verdict>, SettingsError> {
-    each(written, threads, "tried", |one| expect::judge(site, &one.expectation)).into_iter().collect()
+    each(written, threads, "tried", |one| expect::evaluate(site, &one.expectation)).into_iter().collect()
 }
--- a/src/program/cli/explain.rs
+++ b/src/program/cli/explain.rs
@@ -6,9 +6,9 @@
 use super::{Verdict, complain, print, show, source};
 use crate::documents::expectations;
 use crate::documents::read::Source;
-use crate::expect::judge::way;
-use crate::expect::reasons::{Met, lines};
-use crate::expect::world::{Observation, play};
+use crate::expect::judge::describe_request;
+use crate::expect::reasons::{ObservedChoice, choice_lines};
+use crate::expect::world::{Observation, simulate};
 use crate::expect::{Expectation, Site};
 
 #[derive(Debug, clap::Args)]
@@ -56,19 +56,25 @@
     let read = site::read(&arguments.site.config, &arguments.site.servers)?;
     let expectation = wanted(arguments, &read.site)?;
     let record =
-        play(&read.site, &expectation, arguments.seed, Observation::AtEachChoice).map_err(complain)?;
-    for (n, story) in record.stories.iter().enumerate() {
+        simulate(&read.site, &expectation, arguments.seed, Observation::WithChoices).map_err(complain)?;
+    for (n, trace) in record.requests.iter().enumerate() {
         if arguments.request.is_some_and(|wanted| wanted != n + 1) {
             continue;
         }
-        print(&format!("request {}: {}\n", n + 1, way(&read.site, story)));
-        for (at, choice) in &story.choices {
-            let met = Met { request: n + 1, after: at - story.came, choice: choice.clone() };
-            lines(&read.site, &met).iter().for_each(|line| print(&format!("  {line}\n")));
+        print(&format!("request {}: {}\n", n + 1, describe_request(&read.site, trace)));
+        for (at, choice) in &trace.choices {
+            let observed = ObservedChoice {
+                request: n + 1,
+                since_arrival: at - trace.arrived_at,
+                choice: choice.clone(),
+            };
+            choice_lines(&read.site, &observed).iter().for_each(|line| print(&format!("  {line}\n")));
         }
     }
-    match arguments.request.filter(|wanted| *wanted == 0 || *wanted > record.stories.len()) {
-        Some(wanted) => Err(complain(format!("there is no request {wanted}: {} come", record.stories.len()))),
+    match arguments.request.filter(|wanted| *wanted == 0 || *wanted > record.requests.len()) {
+        Some(wanted) => {
+            Err(complain(format!("there is no request {wanted}: {} come", record.requests.len())))
+        }
         None => Ok(Verdict::Good),
     }
 }
--- a/src/program/site.rs
+++ b/src/program/site.rs
@@ -4,7 +4,7 @@
 
 use crate::documents::expectations::{self, Written};
 use crate::documents::read::Source;
-use crate::expect::{Site, Verdict, judge_while};
+use crate::expect::{Site, Verdict, evaluate_while};
 use crate::interface::Settings;
 use crate::membership::guard::Files;
 use crate::membership::lives::Steps;
@@ -68,7 +68,7 @@
 fn objection(site: &Site, written: &Written, go_on: &dyn Fn() -> bool) -> Option<Refusal> {
     let name = written.expectation.name.clone();
     let at = |clause: usize| written.clauses.get(clause).unwrap_or(&written.place).clone();
-    let (clause, verdict, why) = match judge_while(site, &written.expectation, go_on) {
+    let (clause, verdict, why) = match evaluate_while(site, &written.expectation, go_on) {
         Ok(None | Some(Verdict::Holds { .. })) => return None,
         Ok(Some(Verdict::Fails { clause, why, .. })) => (clause, "fails", why),
         Ok(Some(Verdict::Undecided { clause, why })) => (clause, "stays undecided", why),
--- a/tests/agree.rs
+++ b/tests/agree.rs
@@ -5,8 +5,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use milletseam::expect::model::{Behaviour, Break};
-use milletseam::expect::world::{Observation, play};
+use milletseam::expect::model::{Behaviour, FailureMode};
+use milletseam::expect::world::{Observation, simulate};
 use milletseam::expect::{Expectation, Given, Site, Step};
 use milletseam::interface::*;
 use milletseam::protocol::config::Config;
@@ -114,16 +114,16 @@
             max_tokens: 80,
             ..Request::plain()
         };
-        when.push(Step::Requests { request, count: 1, every: 0, time_left: 4_000_000 });
+        when.push(Step::Requests { request, count: 1, interval: 0, time_left: 4_000_000 });
         // The read takes 5 ms there, the first token 30 ms; kept texts are believed in for 30 s.
         when.push(Step::Pass(45_000));
     }
     let expectation = Expectation { name: "agree".into(), given: Given::default(), when, then: Vec::new() };
-    let record = play(site, &expectation, seed, Observation::AtDeeds).expect("sound settings");
-    let names = |story: &milletseam::expect::world::Story| {
-        story.sent.iter().map(|sent| site.name(sent.server).to_string()).collect()
+    let record = simulate(site, &expectation, seed, Observation::ActionsOnly).expect("sound settings");
+    let names = |trace: &milletseam::expect::world::RequestTrace| {
+        trace.attempts.iter().map(|attempt| site.name(attempt.server).to_string()).collect()
     };
-    record.stories.iter().map(names).collect()
+    record.requests.iter().map(names).collect()
 }
 
 fn request(id: &str, asked: &Asked) -> String {
@@ -215,19 +215,19 @@
     let burst = |class: u16, count: u32| Step::Requests {
         request: Request { class: ClassId(class), prompt_tokens: 1_500, max_tokens: 80, ..Request::plain() },
         count,
-        every: 15_000,
+        interval: 15_000,
         time_left: 3_000_000,
     };
-    let breaks = |how| Behaviour { breaks: Some((how, 3)), ..Behaviour::default() };
+    let breaks = |how| Behaviour { failures: Some((how, 3)), ..Behaviour::default() };
     let mut looked = 0;
     for seed in 0..30 {
         let given = Given {
             conductors: Some(1 + seed as u32 % 3),
-            fresh: [(ids[seed as usize % 6], 500_000)].into(),
+            started_ago: [(ids[seed as usize % 6], 500_000)].into(),
             behaviours: [
-                (ids[(seed as usize + 1) % 6], breaks(Break::BeforeLastByte)),
-                (ids[(seed as usize + 2) % 6], breaks(Break::AfterLastByte)),
-                (ids[(seed as usize + 3) % 6], Behaviour { slow: 8.0, ..Behaviour::default() }),
+                (ids[(seed as usize + 1) % 6], breaks(FailureMode::BeforeLastByte)),
+                (ids[(seed as usize + 2) % 6], breaks(FailureMode::AfterLastByte)),
+                (ids[(seed as usize + 3) % 6], Behaviour { latency_factor: 8.0, ..Behaviour::default() }),
             ]
             .into(),
             ..Given::default()
@@ -236,11 +236,11 @@
         let when =
             vec![burst(0, 40), Step::Drain(drained), burst(1, 30), Step::Return(drained), burst(0, 30)];
         let expectation = Expectation { name: "x".into(), given, when, then: Vec::new() };
-        let plain = play(&site, &expectation, seed, Observation::AtDeeds).expect("sound settings");
+        let plain = simulate(&site, &expectation, seed, Observation::ActionsOnly).expect("sound settings");
         let mut observed =
-            play(&site, &expectation, seed, Observation::AtEachChoice).expect("sound settings");
-        looked += observed.stories.iter().map(|story| story.choices.len()).sum::<usize>();
-        observed.stories.iter_mut().for_each(|story| story.choices.clear());
+            simulate(&site, &expectation, seed, Observation::WithChoices).expect("sound settings");
+        looked += observed.requests.iter().map(|trace| trace.choices.len()).sum::<usize>();
+        observed.requests.iter_mut().for_each(|trace| trace.choices.clear());
         assert_eq!(format!("{plain:?}"), format!("{observed:?}"), "seed {seed}");
     }
     assert!(looked > 30 * 100, "{looked} choices were told");
