--- a/benches/expectations.rs
+++ b/benches/expectations.rs
@@ -1,7 +1,8 @@
-//! What trying expectations costs: `cargo bench --bench expectations`.
+//! Measures how long expectations take to evaluate: `cargo bench --bench expectations`.
 //!
-//! 1,000 expectations against 100 and 1,000 servers, on all cores, and one play alone. An expectation is a
-//! session that returns to the reader that keeps it, each with a session and a reader of its own.
+//! It evaluates 1,000 expectations against 100 and against 1,000 servers, on four threads and on all cores, and runs
+//! a single simulation on one thread. In each expectation a session returns to the reader that has it cached; each
+//! has a session of its own, and the readers take turns.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Instant;
@@ -13,7 +14,7 @@
 
 const EXPECTATIONS: u32 = 1_000;
 
-/// Three data centres; cells of ten, half of them readers.
+/// A site of three data centres and cells of ten servers, half of which are readers.
 fn site(count: u32) -> Site {
     let mut settings = Settings::plain(3);
     let kind = |role| Kind { role, memory_tokens: 150_000 };
@@ -43,10 +44,10 @@
     let (reader, session) = (ServerId(n * 2 % servers), SessionKey(u64::from(n)));
     let request =
         Request { session: Some(session), prompt_tokens: 3_400, max_tokens: 200, ..Request::plain() };
-    let kept = CachedText { server: reader, session: Some(session), prefix: None, tokens: 3_000 };
+    let cached_text = CachedText { server: reader, session: Some(session), prefix: None, tokens: 3_000 };
     Expectation {
         name: n.to_string(),
-        given: Given { cached: vec![kept], ..Given::default() },
+        given: Given { cached: vec![cached_text], ..Given::default() },
         when: vec![Step::Requests { request, count: 1, interval: 0, time_left: 5_000_000 }],
         then: vec![Then::Reader(ServerSelector::Server(reader)), Then::Writer(ServerSelector::CellOfReader)],
     }
@@ -56,15 +57,15 @@
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     for servers in [100, 1_000] {
         let site = site(servers);
-        let one = expectation(7, servers);
-        let begin = Instant::now();
+        let example = expectation(7, servers);
+        let start = Instant::now();
         for seed in 0..100 {
-            simulate(&site, &one, seed, Observation::ActionsOnly).expect("sound settings");
+            simulate(&site, &example, seed, Observation::ActionsOnly).expect("valid settings");
         }
-        let single = begin.elapsed() / 100;
+        let per_simulation = start.elapsed() / 100;
         for threads in [threads.min(4), threads] {
-            let (next, held) = (AtomicUsize::new(0), AtomicUsize::new(0));
-            let begin = Instant::now();
+            let (next, holding) = (AtomicUsize::new(0), AtomicUsize::new(0));
+            let start = Instant::now();
             std::thread::scope(|scope| {
                 for _ in 0..threads {
                     scope.spawn(|| {
@@ -72,19 +73,19 @@
                             if n >= EXPECTATIONS {
                                 return;
                             }
-                            let verdict = evaluate(&site, &expectation(n, servers)).expect("sound settings");
+                            let verdict = evaluate(&site, &expectation(n, servers)).expect("valid settings");
                             if matches!(verdict, Verdict::Holds { .. }) {
-                                held.fetch_add(1, Ordering::Relaxed);
+                                holding.fetch_add(1, Ordering::Relaxed);
                             }
                         }
                     });
                 }
             });
-            let held = held.load(Ordering::Relaxed);
+            let holding = holding.load(Ordering::Relaxed);
             println!(
-                "{servers} servers: one play {single:.0?}; {EXPECTATIONS} expectations on {threads} threads \
-                 {:.1?}, {held} hold",
-                begin.elapsed()
+                "{servers} servers: one simulation {per_simulation:.0?}; {EXPECTATIONS} expectations on {threads} threads \
+                 {:.1?}, {holding} hold",
+                start.elapsed()
             );
         }
     }
--- a/src/expect/compare.rs
+++ b/src/expect/compare.rs
@@ -67,13 +67,13 @@
 /// Simulates the same number of requests, with prompts of 1,000 tokens, for each class and data centre, and returns
 /// how they are distributed.
 pub fn flows(site: &Site) -> Result<Vec<Flow>, SettingsError> {
-    let mut flows = Vec::new();
+    let mut all_flows = Vec::new();
     for class in 0..site.classes.len() as u16 {
         for conductor_zone in 0..site.zones.len() as u16 {
-            flows.push(flow(site, ClassId(class), ZoneId(conductor_zone))?);
+            all_flows.push(flow(site, ClassId(class), ZoneId(conductor_zone))?);
         }
     }
-    Ok(flows)
+    Ok(all_flows)
 }
 
 fn flow(site: &Site, class: ClassId, conductor_zone: ZoneId) -> Result<Flow, SettingsError> {
--- a/src/expect/judge.rs
+++ b/src/expect/judge.rs
@@ -181,8 +181,7 @@
     let fetched = |attempt: &Attempt| !attempt.reads && attempt.outcome == Some(Outcome::Served);
     let mut longest = 0;
     for (n, attempt) in trace.attempts.iter().enumerate() {
-        let Some(ended_at) = attempt.ended_at.filter(|ended_at| *ended_at >= first_read && !fetched(attempt))
-        else {
+        let Some(ended_at) = attempt.ended_at.filter(|at| *at >= first_read && !fetched(attempt)) else {
             continue;
         };
         let next = trace.attempts.get(n + 1).map(|next| next.sent_at);
@@ -401,9 +400,9 @@
                 let find_example = |(seed, record): (usize, &Record)| {
                     let traces = record.requests.iter().enumerate();
                     let first = |(n, trace)| Some((n, first_attempt(site, *role, *selector, trace)?));
-                    let example =
+                    let first_wrong =
                         traces.filter_map(first).find(|(_, (_, is_selected))| *is_selected == too_many);
-                    example.map(|(n, (attempt, _))| (seed as u64, Some(n), Some(attempt)))
+                    first_wrong.map(|(n, (attempt, _))| (seed as u64, Some(n), Some(attempt)))
                 };
                 let example = records.iter().enumerate().find_map(find_example);
                 let (seed, request, attempt) = example.unwrap_or((0, None, None));
--- a/src/expect/judge/tests.rs
+++ b/src/expect/judge/tests.rs
@@ -49,7 +49,7 @@
 
 fn evaluate_clause(given: Given, when: Vec<Step>, then: Then) -> Verdict {
     let expectation = Expectation { name: "x".into(), given, when, then: vec![then] };
-    evaluate(&site(), &expectation).expect("sound settings")
+    evaluate(&site(), &expectation).expect("valid settings")
 }
 
 /// An initial state in which the next `count` attempts at each writer fail.
@@ -111,7 +111,7 @@
     let quiet = evaluate_clause(Given::default(), when.clone(), Then::QuietAfterDrain(500_000));
     assert!(matches!(quiet, Verdict::Holds { .. }), "{quiet:?}");
     let expectation = Expectation { name: "x".into(), given: Given::default(), when, then: Vec::new() };
-    let mut record = simulate(&site(), &expectation, 0, Observation::ActionsOnly).expect("sound settings");
+    let mut record = simulate(&site(), &expectation, 0, Observation::ActionsOnly).expect("valid settings");
     let (drained_at, server) = record.drained[0];
     record.sends.push((drained_at + 600_000, server));
     let late = violation(&site(), &Then::QuietAfterDrain(500_000), &record);
--- a/src/expect/world.rs
+++ b/src/expect/world.rs
@@ -393,12 +393,12 @@
     /// Sends an attempt to a server and schedules what becomes of it.
     fn send(&mut self, conductor: usize, request: RequestId, attempt: u32, server: ServerId) {
         let reads = self.site.role(server) == Some(Role::Reader);
-        let at = self.now - START_TIME;
+        let sent_at = self.now - START_TIME;
         if self.steps_started.is_some() {
-            self.record.sends.push((at, server));
+            self.record.sends.push((sent_at, server));
         }
         if let Some(trace) = self.trace(request) {
-            trace.attempts.push(Attempt { sent_at: at, server, reads, outcome: None, ended_at: None });
+            trace.attempts.push(Attempt { sent_at, server, reads, outcome: None, ended_at: None });
         }
         let mut behaviour = self.behaviour(server);
         let ended =
--- a/tests/expect.rs
+++ b/tests/expect.rs
@@ -1,4 +1,5 @@
-//! The shipped example of routing expectations: as it is, and with its configuration broken on purpose.
+//! Runs the command line on the shipped example of routing expectations: unchanged, and with deliberate faults in its
+//! files.
 
 use std::fs;
 use std::io::{BufRead, BufReader};
@@ -7,66 +8,68 @@
 
 const EXAMPLE: &str = "deploy/examples/reli";
 
-/// The example's files, with some text put in the place of another in one of them.
-fn broken(name: &str, file: &str, from: &str, to: &str) -> PathBuf {
+/// Copies the example's files to a temporary directory and replaces `from` by `to` in one of them.
+fn modified_example(name: &str, file: &str, from: &str, to: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("birchspur-expect-{name}-{}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
     fs::create_dir_all(folder.join("servers")).expect("a folder");
     let servers = ["nairobi", "mombasa", "kisumu"].map(|zone| format!("servers/{zone}.kdl"));
-    for one in ["config.json", "expectations.kdl"].into_iter().chain(servers.iter().map(String::as_str)) {
-        let text = fs::read_to_string(Path::new(EXAMPLE).join(one)).expect("a file of the example");
-        let text = if one == file {
+    for path in ["config.json", "expectations.kdl"].into_iter().chain(servers.iter().map(String::as_str)) {
+        let text = fs::read_to_string(Path::new(EXAMPLE).join(path)).expect("a file of the example");
+        let text = if path == file {
             assert!(text.contains(from), "{file} has no {from}");
             milletseam::documents::seal::unsealed(&text).unwrap_or(&text).replace(from, to)
         } else {
             text
         };
-        fs::write(folder.join(one), text).expect("a file");
+        fs::write(folder.join(path), text).expect("a file");
     }
     folder
 }
 
-fn expect(folder: &Path, more: &[&str]) -> Output {
+/// Runs `birchspur expect` on the files of a directory.
+fn run_expect(folder: &Path, options: &[&str]) -> Output {
     let path = |name: &str| folder.join(name).display().to_string();
     Command::new(env!("CARGO_BIN_EXE_birchspur"))
         .args(["expect", "--config", &path("config.json"), "--servers", &path("servers")])
-        .args(more)
+        .args(options)
         .arg(path("expectations.kdl"))
         .output()
-        .expect("it runs")
+        .expect("the program runs")
 }
 
-/// What it prints, without the breaks of long lines.
-fn told(output: &Output) -> String {
+/// Returns what a command printed, with the line breaks of the wrapped text removed.
+fn printed_text(output: &Output) -> String {
     let text = String::from_utf8([&output.stdout[..], &output.stderr[..]].concat()).expect("text");
     text.replace('│', " ").split_whitespace().collect::<Vec<_>>().join(" ")
 }
 
 #[test]
-fn the_example_holds() {
-    let one = expect(Path::new(EXAMPLE), &[]);
-    assert_eq!(one.status.code(), Some(0), "{}", told(&one));
-    assert!(told(&one).contains(" hold, 0 do not"), "{}", told(&one));
-    let some = expect(Path::new(EXAMPLE), &["--filter", "draining reader"]);
-    assert!(told(&some).contains("1 hold, 0 do not"), "{}", told(&some));
-    assert_eq!(expect(Path::new(EXAMPLE), &["--filter", "no such"]).status.code(), Some(2));
+fn example_expectations_hold() {
+    let all = run_expect(Path::new(EXAMPLE), &[]);
+    assert_eq!(all.status.code(), Some(0), "{}", printed_text(&all));
+    assert!(printed_text(&all).contains(" hold, 0 do not"), "{}", printed_text(&all));
+    let filtered = run_expect(Path::new(EXAMPLE), &["--filter", "draining reader"]);
+    assert!(printed_text(&filtered).contains("1 hold, 0 do not"), "{}", printed_text(&filtered));
+    assert_eq!(run_expect(Path::new(EXAMPLE), &["--filter", "no such"]).status.code(), Some(2));
 }
 
-/// Failure: a verdict, or its place in the output, depends on which thread was first.
+/// Guards against verdicts, or their order in the output, that depend on the scheduling of threads.
 #[test]
-fn a_hundred_runs_on_one_and_on_eight_threads_print_the_same_bytes() {
-    // One that fails is in it, so that reasons and rankings are compared too.
-    let folder = broken("threads", "servers/kisumu.kdl", " weight=3", " weight=1");
-    let only = ["--filter", "a writer takes its weight"];
+fn output_is_identical_in_a_hundred_runs_on_one_and_on_eight_threads() {
+    // One expectation fails, so that reasons and rankings are compared too.
+    let folder = modified_example("threads", "servers/kisumu.kdl", " weight=3", " weight=1");
+    let filter = ["--filter", "a writer takes its weight"];
     let run = |threads: &str, format: &str| {
-        let output = expect(&folder, &[&only[..], &["--threads", threads, "--format", format]].concat());
-        assert_eq!(output.status.code(), Some(1), "{}", told(&output));
+        let output =
+            run_expect(&folder, &[&filter[..], &["--threads", threads, "--format", format]].concat());
+        assert_eq!(output.status.code(), Some(1), "{}", printed_text(&output));
         (output.stdout, output.stderr)
     };
     for format in ["text", "json", "junit"] {
         let first = run("1", format);
-        let times = if format == "text" { 100 } else { 3 };
-        for n in 0..times {
+        let runs = if format == "text" { 100 } else { 3 };
+        for n in 0..runs {
             assert!(run(if n % 2 == 0 { "8" } else { "1" }, format) == first, "{format}, run {n}");
         }
     }
@@ -74,84 +77,92 @@
 }
 
 #[test]
-fn json_and_junit_say_what_the_text_says() {
-    let folder = broken("forms", "servers/kisumu.kdl", " weight=3", " weight=0");
+fn json_and_junit_report_the_same_verdicts_as_text() {
+    let folder = modified_example("forms", "servers/kisumu.kdl", " weight=3", " weight=0");
     let name = "a writer takes its weight of its cell [part=0.75 writer=kw2 zone=kisumu]";
-    let output = expect(&folder, &["--filter", "a writer takes its weight", "--format", "json"]);
+    let output = run_expect(&folder, &["--filter", "a writer takes its weight", "--format", "json"]);
     let json: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
     assert_eq!(json["counts"]["fail"], 1);
     assert_eq!(json["counts"]["hold"], 2);
-    let all = json["expectations"].as_array().expect("a list");
-    let failed = all.iter().find(|one| one["verdict"] == "fails").expect("one that fails");
+    let expectations = json["expectations"].as_array().expect("a list");
+    let failed = expectations
+        .iter()
+        .find(|expectation| expectation["verdict"] == "fails")
+        .expect("a failed expectation");
     assert_eq!(failed["name"], name);
     let candidates = failed["choices"][0]["candidates"].as_array().expect("candidates");
-    let spared = candidates.iter().find(|one| one["server"] == "kw2").expect("kw2 was looked at");
-    assert_eq!(spared["passed_over"], "its weight is 0");
-    assert_eq!(spared["rank"], serde_json::Value::Null);
-    let output = expect(&folder, &["--filter", "a writer takes its weight", "--format", "junit"]);
+    let passed_over =
+        candidates.iter().find(|candidate| candidate["server"] == "kw2").expect("kw2 is a candidate");
+    assert_eq!(passed_over["passed_over"], "its weight is 0");
+    assert_eq!(passed_over["rank"], serde_json::Value::Null);
+    let output = run_expect(&folder, &["--filter", "a writer takes its weight", "--format", "junit"]);
     let xml = String::from_utf8(output.stdout).expect("text");
     assert!(xml.contains("tests=\"3\"") && xml.contains("failures=\"1\""), "{xml}");
     assert!(xml.contains(name) && xml.contains("its weight is 0"), "{xml}");
-    // Text in the middle of JSON would be read by nobody.
-    let output = expect(&folder, &["--format", "json", "--mutate"]);
-    assert_eq!((output.status.code(), output.stdout.len()), (Some(2), 0), "{}", told(&output));
+    // `--mutate` prints text, which would make the JSON invalid, so the combination is refused.
+    let output = run_expect(&folder, &["--format", "json", "--mutate"]);
+    assert_eq!((output.status.code(), output.stdout.len()), (Some(2), 0), "{}", printed_text(&output));
     let _ = fs::remove_dir_all(&folder);
 }
 
 #[test]
-fn what_a_change_does_is_told_with_the_line_that_does_it() {
-    let folder = broken("against", "servers/kisumu.kdl", " weight=3", " weight=1");
-    let output = expect(&folder, &["--filter", "weight of its cell", "--against", EXAMPLE]);
-    let text = told(&output);
+fn changed_verdicts_are_reported_with_the_line_that_causes_them() {
+    let folder = modified_example("against", "servers/kisumu.kdl", " weight=3", " weight=1");
+    let output = run_expect(&folder, &["--filter", "weight of its cell", "--against", EXAMPLE]);
+    let text = printed_text(&output);
     assert!(text.contains("1 changes against the old configuration"), "{text}");
     assert!(text.contains("holds -> FAILS: a writer takes its weight of its cell"), "{text}");
     assert!(text.contains("kisumu.kdl:5:8: kw2: weight 3 -> 1"), "{text}");
     let _ = fs::remove_dir_all(&folder);
-    let folder =
-        broken("against-config", "config.json", "\"Repeat\": \"fragile\"", "\"Repeat\": \"retryable\"");
-    let output = expect(&folder, &["--filter", "may have run", "--against", EXAMPLE]);
-    let text = told(&output);
+    let folder = modified_example(
+        "against-config",
+        "config.json",
+        "\"Repeat\": \"fragile\"",
+        "\"Repeat\": \"retryable\"",
+    );
+    let output = run_expect(&folder, &["--filter", "may have run", "--against", EXAMPLE]);
+    let text = printed_text(&output);
     assert!(
         text.contains("config.json:46: settings.Classes[1].Repeat \"fragile\" -> \"retryable\""),
         "{text}"
     );
     assert!(text.contains("holds -> FAILS: a booking that may have run"), "{text}");
     let _ = fs::remove_dir_all(&folder);
-    let folder = broken(
+    let folder = modified_example(
         "against-flows",
         "servers/kisumu.kdl",
         "cell=2\nserver \"kr2\"",
         "cell=2 weight=0\nserver \"kr2\"",
     );
-    let moved = folder.join("servers/kisumu.kdl");
-    let text = fs::read_to_string(&moved)
+    let kisumu = folder.join("servers/kisumu.kdl");
+    let text = fs::read_to_string(&kisumu)
         .expect("a file")
         .replace("kind=\"reader\" cell=2\n", "kind=\"reader\" cell=2 weight=0\n");
-    fs::write(&moved, text).expect("a file");
-    let output = expect(&folder, &["--filter", "other serves", "--against", EXAMPLE]);
-    let text = told(&output);
+    fs::write(&kisumu, text).expect("a file");
+    let output = run_expect(&folder, &["--filter", "other serves", "--against", EXAMPLE]);
+    let text = printed_text(&output);
     assert!(text.contains("ask from kisumu, read in:") && text.contains("kisumu 100% -> 0%"), "{text}");
     let _ = fs::remove_dir_all(&folder);
 }
 
-/// Failure: expectations that hold whatever the configuration is.
+/// Guards against expectations that hold whatever the configuration is.
 #[test]
-fn nearly_all_breakages_of_the_example_are_noticed() {
-    let output = expect(Path::new(EXAMPLE), &["--mutate", "--least", "0.95"]);
-    let text = told(&output);
+fn mutations_of_the_example_are_noticed() {
+    let output = run_expect(Path::new(EXAMPLE), &["--mutate", "--least", "0.95"]);
+    let text = printed_text(&output);
     assert_eq!(output.status.code(), Some(0), "{}", text.split("noticed ").last().unwrap_or_default());
-    assert!(text.contains("SURVIVES") || text.contains("100.0%"), "survivors are named");
+    assert!(text.contains("SURVIVES") || text.contains("100.0%"), "survivors are not named");
 }
 
 #[test]
-fn one_request_is_explained_by_hand() {
+fn explain_lists_the_candidates_and_refuses_an_unknown_class() {
     let explain = |text: &str| {
         let output = Command::new(env!("CARGO_BIN_EXE_birchspur"))
             .args(["explain", "--config", "config.json", "--servers", "servers", text])
             .current_dir(EXAMPLE)
             .output()
-            .expect("it runs");
-        (output.status.code(), told(&output))
+            .expect("the program runs");
+        (output.status.code(), printed_text(&output))
     };
     let (code, text) =
         explain("given { zone \"kisumu\"; server \"kr2\" state=\"draining\"; }; when { request; }");
@@ -166,17 +177,17 @@
     assert!(text.contains("there is no class \"bok\"") && text.contains("did you mean \"book\"?"), "{text}");
 }
 
-/// Failure: what is given is not there when the request comes, or it is never gone.
+/// Guards against an initial state that is not yet in effect when the request arrives, or that never expires.
 #[test]
-fn what_is_open_or_in_doubt_counts_and_passes_with_time() {
+fn open_requests_and_ejections_take_effect_and_expire() {
     let expectation = |name: &str, given: &str, then: &str| {
         format!(
             "expect \"{name}\" {{ given {{ zone \"kisumu\"; {given}; }}; when {{ request class=\"ask\"; }}; \
              then {{ {then}; }}; }}\n"
         )
     };
-    let folder = broken("given", "expectations.kdl", "expect", "expect");
-    // The doubt gives way to a trial after 2 s, and what is open is read by then.
+    let folder = modified_example("given", "expectations.kdl", "expect", "expect");
+    // An ejected server is tried again after 2 s, and the open requests have been read by then.
     let text = [
         expectation("open", "open 20 at=\"kr1\"", "never \"kr1\""),
         expectation("read by now", "open 20 at=\"kr1\"; since \"20s\"", "never \"kr1\""),
@@ -184,8 +195,8 @@
         expectation("doubted no more", "server \"kr1\" state=\"in-doubt\"; since \"3s\"", "never \"kr1\""),
     ];
     fs::write(folder.join("expectations.kdl"), text.concat()).expect("a file");
-    let output = expect(&folder, &[]);
-    let text = told(&output);
+    let output = run_expect(&folder, &[]);
+    let text = printed_text(&output);
     assert_eq!(output.status.code(), Some(1), "{text}");
     for words in ["holds open", "FAILS read by now", "holds doubted (", "FAILS doubted no more"] {
         assert!(text.contains(words), "'{words}' is missing in:\n{text}");
@@ -193,9 +204,9 @@
     let _ = fs::remove_dir_all(&folder);
 }
 
-/// Failure: each of fifty conductors keeps to a budget, and their sum pushes a cold server over.
+/// Guards against fifty conductors that each keep to a budget while their sum overloads a cold server.
 #[test]
-fn fifty_conductors_together_keep_a_fresh_servers_budget() {
+fn fifty_conductors_together_keep_to_the_budget_of_a_cold_server() {
     let given = "given { conductors 50; server \"nr1\" started=\"1s\"; }";
     let text = |sends| {
         format!(
@@ -203,20 +214,21 @@
              then {{ at-most \"nr1\" sends={sends} in=\"2s\"; }}; }}"
         )
     };
-    // 1,500 requests in 3 s over six readers are 83 a second each; cold, the rules allow 2.5 x 0.34 of that.
+    // 1,500 requests in 3 s over six readers are 83 per second each. For a cold reader the rules allow 2.5 x 0.34 of
+    // that.
     for (sends, code) in [(141, 0), (0, 1)] {
-        let folder = broken("fifty", "expectations.kdl", "expect", "expect");
+        let folder = modified_example("fifty", "expectations.kdl", "expect", "expect");
         fs::write(folder.join("expectations.kdl"), text(sends)).expect("a file");
-        let output = expect(&folder, &[]);
-        assert_eq!(output.status.code(), Some(code), "{}", told(&output));
+        let output = run_expect(&folder, &[]);
+        assert_eq!(output.status.code(), Some(code), "{}", printed_text(&output));
         let _ = fs::remove_dir_all(&folder);
     }
 }
 
-/// Failure: a change is missed, or the same files are tried over and over.
+/// Guards against a missed change, and against evaluating the same files over and over.
 #[test]
-fn a_watched_document_is_tried_again_when_it_changes() {
-    let folder = broken("watch", "expectations.kdl", "expect", "expect");
+fn watched_document_is_evaluated_again_when_it_changes() {
+    let folder = modified_example("watch", "expectations.kdl", "expect", "expect");
     let path = |name: &str| folder.join(name).display().to_string();
     let text = |reader: &str| {
         format!(
@@ -224,35 +236,35 @@
              when {{ request session=\"s\" prompt-tokens=3100; }}; then {{ reader \"{reader}\"; }}; }}\n"
         )
     };
-    let put = |reader: &str| {
+    let write_document = |reader: &str| {
         fs::write(path("beside"), text(reader)).expect("a file");
         fs::rename(path("beside"), path("expectations.kdl")).expect("a rename");
     };
-    put("nr1");
+    write_document("nr1");
     let mut child = Command::new(env!("CARGO_BIN_EXE_birchspur"))
         .args(["expect", "--watch", "--config", &path("config.json"), "--servers", &path("servers")])
         .arg(path("expectations.kdl"))
         .stdout(Stdio::piped())
         .stderr(Stdio::null())
         .spawn()
-        .expect("it runs");
+        .expect("the program runs");
     let mut lines = BufReader::new(child.stdout.take().expect("a pipe")).lines();
-    let mut line = || lines.next().expect("a line").expect("text");
-    assert_eq!(line(), "holds      home (20 seeds)");
-    assert_eq!(line(), "1 hold, 0 do not");
-    put("nr2");
-    assert_eq!(line(), "FAILS      home");
-    assert_eq!(line(), "0 hold, 1 do not");
-    put("nr1");
-    assert_eq!(line(), "holds      home (20 seeds)");
-    child.kill().expect("it is ended");
-    child.wait().expect("it has ended");
+    let mut next_line = || lines.next().expect("a line").expect("text");
+    assert_eq!(next_line(), "holds      home (20 seeds)");
+    assert_eq!(next_line(), "1 hold, 0 do not");
+    write_document("nr2");
+    assert_eq!(next_line(), "FAILS      home");
+    assert_eq!(next_line(), "0 hold, 1 do not");
+    write_document("nr1");
+    assert_eq!(next_line(), "holds      home (20 seeds)");
+    child.kill().expect("the process is killed");
+    child.wait().expect("the process has ended");
     let _ = fs::remove_dir_all(&folder);
 }
 
-/// Failure: a configuration breaks an expectation and nobody hears of it.
+/// Guards against a configuration that violates an expectation without a report.
 #[test]
-fn each_broken_configuration_fails_with_its_reason() {
+fn each_faulty_configuration_is_reported_with_its_reason() {
     let (kisumu, mombasa) = ("servers/kisumu.kdl", "servers/mombasa.kdl");
     let (config, document) = ("config.json", "expectations.kdl");
     let cases: [(&str, &str, &str, &[&str]); 18] = [
@@ -295,7 +307,7 @@
             config,
             "\"Repeat\": \"fragile\"",
             "\"Repeat\": \"retryable\"",
-            &["FAILS a booking that may have run", "it did not fail so"],
+            &["FAILS a booking that may have run", "it did not fail as expected"],
         ),
         (
             config,
@@ -314,7 +326,7 @@
             config,
             "\"ColdFrom\": 0.34",
             "\"ColdFrom\": 1.0",
-            &["FAILS a fresh reader is spared", "nr1 (nairobi, cell 0) got"],
+            &["FAILS a fresh reader is spared", "nr1 (nairobi, cell 0) received"],
         ),
         (
             config,
@@ -344,13 +356,13 @@
             &["there is no fixture \"only kisum\"", "did you mean"],
         ),
     ];
-    for (n, (file, from, to, words)) in cases.into_iter().enumerate() {
-        let folder = broken(&n.to_string(), file, from, to);
-        let output = expect(&folder, &[]);
-        let text = told(&output);
+    for (n, (file, from, to, expected)) in cases.into_iter().enumerate() {
+        let folder = modified_example(&n.to_string(), file, from, to);
+        let output = run_expect(&folder, &[]);
+        let text = printed_text(&output);
         assert_eq!(output.status.code(), Some(1), "{from} -> {to}: {text}");
-        for word in words {
-            assert!(text.contains(word), "{from} -> {to}: '{word}' is missing in:\n{text}");
+        for words in expected {
+            assert!(text.contains(words), "{from} -> {to}: '{words}' is missing in:\n{text}");
         }
         let _ = fs::remove_dir_all(&folder);
     }
