--- a/src/program/cli/expect/against.rs
+++ b/src/program/cli/expect/against.rs
@@ -8,7 +8,7 @@
 use super::site::SiteSources;
 use super::tried::{self, Document};
 use crate::documents::read::Source;
-use crate::expect::compare::{Flow, Part, alike, blame, flows};
+use crate::expect::compare::{Flow, SiteChange, flows, responsible_changes, same_outcome};
 use crate::expect::{self, Site};
 use crate::interface::{ServerEntry, ServerId, ServerState, SettingsError};
 use crate::program::cli::print;
@@ -95,7 +95,7 @@
 }
 
 /// Splits the difference between two sites into parts: one for each changed server and each changed setting.
-fn parts(old: &SiteSources, new: &SiteSources) -> Vec<Part> {
+fn parts(old: &SiteSources, new: &SiteSources) -> Vec<SiteChange> {
     let mut parts = Vec::new();
     let ids: BTreeSet<ServerId> = old.site.servers.keys().chain(new.site.servers.keys()).copied().collect();
     for id in ids {
@@ -110,7 +110,7 @@
             site
         };
         let (alone, without) = (with(&old.site, after), with(&new.site, before));
-        parts.push(Part { what: server_change(id, old, new), alone, without });
+        parts.push(SiteChange { description: server_change(id, old, new), alone, without });
     }
     let (mut before, mut after) = (BTreeMap::new(), BTreeMap::new());
     leaves(&old.value, String::new(), &mut before);
@@ -123,8 +123,8 @@
         let (Some(alone), Some(without)) = (alone, without) else { continue };
         let line_suffix = line(&new.config, path).map_or(String::new(), |line| format!(":{line}"));
         let old_leaf = before.get(path).map_or("nothing".into(), Value::to_string);
-        parts.push(Part {
-            what: format!("{}{line_suffix}: {path} {old_leaf} -> {leaf}", new.config.name),
+        parts.push(SiteChange {
+            description: format!("{}{line_suffix}: {path} {old_leaf} -> {leaf}", new.config.name),
             alone,
             without,
         });
@@ -155,8 +155,11 @@
     let mut any_change = false;
     for (a, b) in before.iter().zip(after) {
         let class = site.classes.get(usize::from(a.class.0)).map_or("?", String::as_str);
-        let from = site.zones.get(usize::from(a.from.0)).map_or("?", String::as_str);
-        for (what, a, b) in [("read", &a.read_in, &b.read_in), ("written", &a.written_in, &b.written_in)] {
+        let from = site.zones.get(usize::from(a.conductor_zone.0)).map_or("?", String::as_str);
+        for (what, a, b) in [
+            ("read", &a.read_fractions, &b.read_fractions),
+            ("written", &a.write_fractions, &b.write_fractions),
+        ] {
             if let Some(changes) = share_changes(&site.zones, a, b) {
                 any_change = true;
                 print(&format!("  {class} from {from}, {what} in: {changes}\n"));
@@ -177,7 +180,7 @@
 ) -> Result<(), SettingsError> {
     let parts = parts(old.0, new.0);
     print(&format!("\n{} changes against the old configuration\n", parts.len()));
-    parts.iter().for_each(|part| print(&format!("  {}\n", part.what)));
+    parts.iter().for_each(|part| print(&format!("  {}\n", part.description)));
     let before = tried::all(old.1);
     let verdicts_before = tried::judge(&old.0.site, &before, threads)?;
     print("\nverdicts that changed\n");
@@ -186,15 +189,15 @@
         let name = &written.expectation.name;
         let Some(index) = before.iter().position(|other| other.expectation.name == *name) else { continue };
         let old_verdict = &verdicts_before[index];
-        if alike(old_verdict, verdict) {
+        if same_outcome(old_verdict, verdict) {
             continue;
         }
         changed += 1;
         print(&format!("  {} -> {}: {name}\n", verdict_name(old_verdict), verdict_name(verdict)));
-        let causes = blame(&written.expectation, old_verdict, &parts)?;
+        let causes = responsible_changes(&written.expectation, old_verdict, &parts)?;
         match causes[..] {
             [] => print("      by several changes together\n"),
-            _ => causes.iter().for_each(|part| print(&format!("      by {}\n", part.what))),
+            _ => causes.iter().for_each(|part| print(&format!("      by {}\n", part.description))),
         }
     }
     if changed == 0 {
--- a/src/program/cli/expect/report.rs
+++ b/src/program/cli/expect/report.rs
@@ -6,7 +6,7 @@
 use super::tried::Document;
 use crate::documents::expectations::Written;
 use crate::documents::read::Source;
-use crate::expect::reasons::{self, Met};
+use crate::expect::reasons::{self, ObservedChoice};
 use crate::expect::{self, Site};
 use crate::interface::Cost;
 use crate::membership::{Location, Reason, Refusal};
@@ -56,8 +56,8 @@
     written.clauses.get(clause_index).unwrap_or(&written.place)
 }
 
-fn lines(site: &Site, choices: &[Met]) -> Option<String> {
-    let lines: Vec<String> = choices.iter().flat_map(|met| reasons::lines(site, met)).collect();
+fn lines(site: &Site, choices: &[ObservedChoice]) -> Option<String> {
+    let lines: Vec<String> = choices.iter().flat_map(|met| reasons::choice_lines(site, met)).collect();
     (!lines.is_empty()).then(|| lines.join("\n"))
 }
 
@@ -111,7 +111,7 @@
     json!({"file": &*place.file, "line": place.line, "column": place.column})
 }
 
-fn choice_json(site: &Site, met: &Met) -> Value {
+fn choice_json(site: &Site, met: &ObservedChoice) -> Value {
     let candidate_json = |(rank, candidate): &(Option<usize>, &crate::interface::Candidate)| {
         let cost = match candidate.cost {
             Cost::Read { missing, load, pace, price, cost } => json!({
@@ -128,14 +128,15 @@
             "weight": site.servers.get(&candidate.server).map(|(_, entry)| entry.weight),
             "rank": rank.map(|rank| rank + 1),
             "class": candidate.tier,
-            "passed_over": candidate.ineligible.map(reasons::ineligible),
-            "last_resort": candidate.avoided.map(reasons::avoided),
+            "passed_over": candidate.ineligible.map(reasons::ineligible_reason),
+            "last_resort": candidate.avoided.map(reasons::avoided_reason),
             "cost": cost,
         })
     };
-    let candidates: Vec<Value> = reasons::in_order(&met.choice).iter().map(candidate_json).collect();
+    let candidates: Vec<Value> =
+        reasons::ordered_candidates(&met.choice).iter().map(candidate_json).collect();
     let role = if met.choice.reads { "reader" } else { "writer" };
-    json!({"request": met.request, "after_us": met.after, "role": role, "candidates": candidates})
+    json!({"request": met.request, "after_us": met.since_arrival, "role": role, "candidates": candidates})
 }
 
 /// Returns the report as JSON.
--- a/src/program/cli/expect/tried.rs
+++ b/src/program/cli/expect/tried.rs
@@ -85,7 +85,7 @@
     written: &[&Written],
     threads: usize,
 ) -> Result<Vec<expect::Verdict>, SettingsError> {
-    map_on_threads(written, threads, "tried", |written| expect::judge(site, &written.expectation))
+    map_on_threads(written, threads, "tried", |written| expect::evaluate(site, &written.expectation))
         .into_iter()
         .collect()
 }
--- a/src/program/cli/explain.rs
+++ b/src/program/cli/explain.rs
@@ -6,9 +6,9 @@
 use super::{Verdict, complain, print, show, source};
 use crate::documents::expectations;
 use crate::documents::read::Source;
-use crate::expect::judge::way;
-use crate::expect::reasons::{Met, lines};
-use crate::expect::world::{Observation, play};
+use crate::expect::judge::describe_request;
+use crate::expect::reasons::{ObservedChoice, choice_lines};
+use crate::expect::world::{Observation, simulate};
 use crate::expect::{Expectation, Site};
 
 #[derive(Debug, clap::Args)]
@@ -62,20 +62,24 @@
     let sources = site::read(&arguments.site.config, &arguments.site.servers)?;
     let expectation = selected_expectation(arguments, &sources.site)?;
     let record =
-        play(&sources.site, &expectation, arguments.seed, Observation::AtEachChoice).map_err(complain)?;
-    for (n, story) in record.stories.iter().enumerate() {
+        simulate(&sources.site, &expectation, arguments.seed, Observation::WithChoices).map_err(complain)?;
+    for (n, trace) in record.requests.iter().enumerate() {
         if arguments.request.is_some_and(|number| number != n + 1) {
             continue;
         }
-        print(&format!("request {}: {}\n", n + 1, way(&sources.site, story)));
-        for (at, choice) in &story.choices {
-            let met = Met { request: n + 1, after: at - story.came, choice: choice.clone() };
-            lines(&sources.site, &met).iter().for_each(|line| print(&format!("  {line}\n")));
+        print(&format!("request {}: {}\n", n + 1, describe_request(&sources.site, trace)));
+        for (at, choice) in &trace.choices {
+            let met = ObservedChoice {
+                request: n + 1,
+                since_arrival: at - trace.arrived_at,
+                choice: choice.clone(),
+            };
+            choice_lines(&sources.site, &met).iter().for_each(|line| print(&format!("  {line}\n")));
         }
     }
-    match arguments.request.filter(|number| *number == 0 || *number > record.stories.len()) {
+    match arguments.request.filter(|number| *number == 0 || *number > record.requests.len()) {
         Some(number) => {
-            Err(complain(format!("there is no request {number}: there are {}", record.stories.len())))
+            Err(complain(format!("there is no request {number}: there are {}", record.requests.len())))
         }
         None => Ok(Verdict::Good),
     }
--- a/src/transport/budget.rs
+++ b/src/transport/budget.rs
@@ -28,11 +28,7 @@
     pub fn new(sockets: usize, socket: Socket, clock: Clock) -> Self {
         let allowed = system_limit().map_or(sockets, |limit| sockets.min(limit.max(MIN_SOCKETS)));
         if allowed < sockets {
-            tracing::warn!(
-                sockets,
-                allowed,
-                "the system's limit on open files is lower than the configured number of sockets"
-            );
+            tracing::warn!(sockets, allowed, "the system allows fewer descriptors than the configuration");
         }
         let available = allowed.saturating_sub(RESERVED_DESCRIPTORS);
         let fronts = (available as f64 * FRONT_SHARE) as usize;
--- a/src/transport/hub/mod.rs
+++ b/src/transport/hub/mod.rs
@@ -300,7 +300,7 @@
         tracing::info!(
             target: "birchspur::module",
             { server.name = name, server.address = address },
-            "server ejected: it has not responded since a failure, and is tried again after a while"
+            "server in doubt: it has not responded since a failure, and is tried again after a while"
         );
     }
 
--- a/src/transport/list/discovery.rs
+++ b/src/transport/list/discovery.rs
@@ -116,7 +116,7 @@
                 }
             }
             Err(error) => {
-                tracing::warn!(discovery.address = address, %error, "discovery request failed");
+                tracing::warn!(discovery.address = address, %error, "discovery does not answer");
                 self.pacing.handle(now, error.to_input());
             }
         }
