--- a/src/expect/mod.rs
+++ b/src/expect/mod.rs
@@ -4,7 +4,7 @@
 //! [`model`] holds the data of an expectation, [`world`] simulates it once for a seed, and [`judge`] simulates it
 //! over many seeds and returns whether it holds, fails or stays undecided. [`reasons`] explains a choice in words,
 //! [`compare`] compares two versions of a site, and [`mutate`] derives faulty sites. Documents are parsed in
-//! [`crate::documents::expectations`].
+//! `documents::expectations`.
 
 pub mod compare;
 pub mod judge;
